--- a/src/bin/linkhatch-simulator-adapter.rs
+++ b/src/bin/linkhatch-simulator-adapter.rs
@@ -1,4 +1,4 @@
-//! The simulator adapter: plays batches of events from standard input on balancers, and writes one reply for
+//! The simulator adapter: runs batches of events from standard input on balancers, and writes one reply for
 //! each to standard output.
 
 #![forbid(unsafe_code)]
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the list service: at the first node that answers.
+//! Calls to the list service, made to the first node that answers.
 
 use super::error::CommandError;
 use super::replies::{ErrorReply, typed};
@@ -12,23 +12,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long one call may take.
+/// The timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// The outcome of a write that a node is not sure of.
+/// The outcome that a node reports if it does not know whether a write was done.
 const UNKNOWN_OUTCOME: &str = "unknown";
 
-/// Where the list service is.
+/// The list service's addresses, and the form of the output.
 #[derive(Args, Debug)]
 pub struct Service {
-    /// The list service's nodes, separated by commas; the first that answers is asked.
+    /// Addresses of the list service's nodes, separated by commas; the first that answers is used.
     #[arg(long, env = "RELAY_DISCOVERY", value_delimiter = ',', required = true)]
     at: Vec<SocketAddr>,
-    /// Print what the service said, as JSON.
+    /// Print the service's reply as JSON.
     #[arg(long)]
     json: bool,
 }
 
-/// A reply's status and its body; null where that is not JSON.
+/// A reply's status, and its body as JSON; null where the body is not JSON.
 pub struct Reply {
     pub status: StatusCode,
     pub body: Value,
@@ -43,10 +43,10 @@
 }
 
 impl Service {
-    /// Reads what is at `path`.
+    /// Gets the resource at `path`.
     ///
     /// # Errors
-    /// `Rejected` where the reply is not 200, `Unreachable` where there is none.
+    /// `Rejected` if the status of the reply is not 200, `Unreachable` if there is no reply.
     pub async fn get(&self, path: &str) -> Result<Value, CommandError> {
         let request = || {
             let get = Request::get(path).header("host", "list").body(Full::new(Bytes::new()));
@@ -59,15 +59,15 @@
         }
     }
 
-    /// Writes `body` to `path`. A write that may have been done is not made again at another node.
+    /// Posts `body` to `path`. A write that may have been done is not repeated at another node.
     ///
     /// # Errors
-    /// `Unreachable` where no node took it, `UnknownOutcome` and `Interrupted` where one may have done it.
+    /// `Unreachable` if no node accepted the write, `UnknownOutcome` and `Interrupted` if a node may have done it.
     pub async fn post(&self, path: &str, body: &impl Serialize) -> Result<Reply, CommandError> {
         self.call(|| post_json(path, body), false).await
     }
 
-    /// One call at the first node that answers.
+    /// Calls the nodes in turn, and returns the reply of the first that answers.
     async fn call(
         &self,
         request: impl Fn() -> Result<Request<Full<Bytes>>, CallError>,
@@ -102,7 +102,7 @@
         Err(CommandError::Unreachable(last_failure))
     }
 
-    /// Prints a reply: as it came with `--json`, or else as `text` shows it.
+    /// Prints a reply: unchanged with `--json`, otherwise as the text that `text` returns.
     pub fn print(&self, reply: &Value, text: impl FnOnce() -> String) {
         match self.json {
             true => println!("{reply:#}"),
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,22 +1,22 @@
-//! Why an operators' command did not do what was asked, and its exit code.
+//! The errors of the operators' commands, and their exit codes.
 
 use linkhatch_proxy::agreement::document::DocumentError;
 use linkhatch_proxy::http_client::CallError;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Exit codes, as the help explains them.
-pub const EXIT_CODES: &str = "Exit codes: 0 done; 1 the service refused it, or the version was withdrawn or \
-    superseded; 2 bad arguments or file; 3 no node answered, or it is not known whether it was done; 4 somebody \
-    else has published meanwhile: nothing was done; 5 published, and not committed within the wait";
+/// The explanation of the exit codes in the help.
+pub const EXIT_CODES: &str = "Exit codes: 0 success; 1 rejected by the service, or the version was withdrawn or \
+    superseded; 2 invalid arguments or file; 3 no node answered, or the outcome is unknown; 4 another version \
+    was published in the meantime, and nothing was done; 5 published, but not committed within the wait";
 
-/// Why a command did not do what was asked.
+/// Why a command failed.
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// The service rejected the command, or has no such version.
     #[error("{0}")]
     Rejected(String),
-    /// A document from the service can't be read.
+    /// A document from the service can't be parsed.
     #[error(transparent)]
     Document(#[from] DocumentError),
     /// The version was withdrawn, for the reason given.
@@ -25,18 +25,18 @@
     /// The version was superseded.
     #[error("superseded by a later version")]
     Superseded,
-    /// A file can't be read, or does not hold what it should.
+    /// A file can't be read, or its content is invalid.
     #[error("{path}: {source}")]
     File {
         /// The file.
         path: String,
-        /// What is wrong.
+        /// The error in it.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
     /// The call can't be made.
     #[error(transparent)]
     Call(CallError),
-    /// No node answered; the last one's failure.
+    /// No node answered. Contains the failure of the last node.
     #[error("no node answered: {0}")]
     Unreachable(String),
     /// A node does not know whether the command was done.
@@ -52,10 +52,10 @@
     Interrupted {
         /// The node.
         node: SocketAddr,
-        /// How it broke.
+        /// The error of the connection.
         source: CallError,
     },
-    /// Somebody else has published meanwhile.
+    /// Another version was published in the meantime.
     #[error("{0}")]
     Conflict(String),
     /// The version was not committed in time.
@@ -69,12 +69,12 @@
 }
 
 impl CommandError {
-    /// An error in a file.
+    /// The error for a file.
     pub fn file(path: &str, source: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> Self {
         Self::File { path: path.to_string(), source: source.into() }
     }
 
-    /// The exit code, as [`EXIT_CODES`] explains it.
+    /// The exit code, see [`EXIT_CODES`].
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Rejected(_) | Self::Document(_) | Self::Withdrawn(_) | Self::Superseded => 1,
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -11,7 +11,7 @@
 pub enum Fleet {
     /// Shows each proxy's session, slot, versions held and in force, and lag: `linkhatch-proxy fleet status --at …`.
     Status {
-        /// Where to ask.
+        /// The list service.
         #[command(flatten)]
         service: Service,
     },
@@ -21,7 +21,7 @@
     /// Runs the command.
     ///
     /// # Errors
-    /// As [`CommandError`] says.
+    /// See [`CommandError`].
     pub async fn run(self) -> Result<(), CommandError> {
         let Self::Status { service } = self;
         let reply = service.get("/v1/fleet").await?;
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -22,7 +22,7 @@
 #[command(
     name = "linkhatch-proxy",
     version,
-    about = "A proxy for services that call services, and its fleet's services"
+    about = "A load-balancing proxy for service-to-service calls, and the control services of its fleet"
 )]
 pub struct Arguments {
     /// The subcommand; none for the proxy.
@@ -35,26 +35,26 @@
 pub enum Command {
     /// Runs a list-service node: discovery for proxies, and a write API for backends and operators.
     Registry {
-        /// Its TOML configuration file.
+        /// The TOML configuration file.
         #[arg(long)]
         config: String,
     },
     /// Reads and publishes the settings that all proxies follow.
     #[command(subcommand, after_long_help = EXIT_CODES)]
     Settings(settings::Settings),
-    /// Shows how the fleet stands.
+    /// Shows the status of the fleet.
     #[command(subcommand, after_long_help = EXIT_CODES)]
     Fleet(fleet::Fleet),
-    /// Holds one duty by a lease from the list service, and does it while the lease is valid.
+    /// Holds the lease on one duty from the list service, and performs the duty while the lease is valid.
     Hold {
-        /// Its TOML configuration file.
+        /// The TOML configuration file.
         #[arg(long)]
         config: String,
     },
 }
 
 impl Command {
-    /// Runs the subcommand to its exit code.
+    /// Runs the subcommand and returns its exit code.
     pub fn run(self) -> ExitCode {
         match self {
             Command::Registry { config } => run_service(RegistryConfig::read(&config), registry::serve),
@@ -65,7 +65,7 @@
     }
 }
 
-/// Runs one of the fleet's services, until it ends or its configuration can't be used.
+/// Runs one of the fleet's services until it ends; fails if its configuration can't be used.
 fn run_service<C, E, F>(config: Result<C, E>, serve: impl FnOnce(C) -> F) -> ExitCode
 where
     E: Display,
@@ -80,20 +80,20 @@
     }
 }
 
-/// Runs an operators' command to its exit code.
+/// Runs an operators' command and returns its exit code.
 fn run_command(command: impl Future<Output = Result<(), CommandError>>) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
-    let ran = run_on_this_thread(async {
+    let result = run_on_this_thread(async {
         if let Err(error) = command.await {
             report(&error);
             code = ExitCode::from(error.exit_code());
         }
         Ok(())
     });
-    if ran == ExitCode::SUCCESS { code } else { ran }
+    if result == ExitCode::SUCCESS { code } else { result }
 }
 
-/// Runs a future on the current thread, and reports its error.
+/// Runs a future on the current thread and reports its error.
 fn run_on_this_thread(future: impl Future<Output = std::io::Result<()>>) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     match runtime.and_then(|runtime| LocalSet::new().block_on(&runtime, future)) {
@@ -107,7 +107,7 @@
     eprintln!("linkhatch-proxy: {error}");
 }
 
-/// Reports an error; the exit code of a failure.
+/// Reports an error and returns the exit code of a failure.
 fn failure(error: &impl Display) -> ExitCode {
     report(error);
     ExitCode::FAILURE
--- a/src/cli/proxy.rs
+++ b/src/cli/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy's start-up: puts its parts together, moves it to another discovery on SIGHUP, and stops it on SIGTERM.
+//! Assembles and starts the proxy, moves it to other discovery addresses on SIGHUP, and stops it on SIGTERM.
 
 use super::{failure, report, run_on_this_thread, start_structured_log};
 use linkhatch_proxy::agreement::follower::Follower;
@@ -19,28 +19,26 @@
 
 /// The environment variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// Descriptors reserved for what is neither a client nor a backend, and for a client's connection that is accepted only to
-/// have another make way.
+/// Descriptors reserved for uses other than client and backend connections, and for a client's connection that is
+/// accepted only in order to evict another one.
 const RESERVED_DESCRIPTORS: usize = 48;
-/// Descriptors that a process may hold where its system sets no limit of its own.
+/// The limit of open descriptors that is assumed if the system states none.
 const DEFAULT_DESCRIPTORS: usize = 1024;
-/// The first wait before a configuration file that could not be read is read again.
+/// The initial wait before a configuration file that could not be read is read again.
 const MIN_RELOAD_BACKOFF: Duration = Duration::from_millis(20);
-/// The longest such wait.
+/// The maximum wait before a configuration file that could not be read is read again.
 const MAX_RELOAD_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Runs the proxy, with its configuration from the environment, until it is stopped.
 pub fn run() -> ExitCode {
     if std::env::var_os(CONFIG_VARIABLE).is_none() {
-        report(&format_args!(
-            "{CONFIG_VARIABLE} is not set; taking the embedded sample (deploy/sample.json)"
-        ));
+        report(&format_args!("{CONFIG_VARIABLE} is not set; using the embedded sample (deploy/sample.json)"));
     }
     let config = match Config::from_env() {
         Ok(config) => config,
         Err(error) => return failure(&error),
     };
-    // A proxy that follows the agreement has the structured log of the fleet's services.
+    // A proxy that follows the agreement writes the structured log of the fleet's services instead.
     if config.agreement.is_none()
         && let Err(error) = telemetry::start_log()
     {
@@ -49,7 +47,7 @@
     run_on_this_thread(serve(config))
 }
 
-/// The number of descriptors that may be held: as configured, and beyond the default no more than the system allows.
+/// The number of descriptors that may be open: as configured, but above the default at most the system's limit.
 fn allowed_descriptors(configured: usize) -> usize {
     if configured <= DEFAULT_DESCRIPTORS {
         return configured;
@@ -57,7 +55,7 @@
     configured.min(descriptors::max_open_files().unwrap_or(DEFAULT_DESCRIPTORS))
 }
 
-/// The most connections from clients and to backends.
+/// The maximum numbers of connections from clients and to backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ConnectionLimits {
     clients: usize,
@@ -65,9 +63,9 @@
 }
 
 impl ConnectionLimits {
-    /// Divides `descriptors`. Clients hold up to a third of all descriptors for their requests, and others connect too,
-    /// so that theirs are more; a few connections beyond their limit are accepted to be rejected.
-    fn of(descriptors: usize) -> Self {
+    /// Divides `descriptors`. Clients get the larger part: their requests use up to a third of all descriptors, and
+    /// clients without requests connect too. A few connections beyond their limit are accepted in order to reject them.
+    fn from_descriptors(descriptors: usize) -> Self {
         let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
         let backends = available * 2 / 5;
         let clients =
@@ -90,7 +88,7 @@
     let reload = Signals::listen(SIGHUP)?;
     let listener = server::bind(config.listen)?;
     report(&format_args!("listening on {}", listener.local_addr()?));
-    let limits = ConnectionLimits::of(allowed_descriptors(config.sockets));
+    let limits = ConnectionLimits::from_descriptors(allowed_descriptors(config.sockets));
     let engine = Engine::start(config.settings.clone(), &config.proxy_settings, config.seed, limits.backends);
     let (cache, known) = match config.list_cache {
         None => (None, config.known),
@@ -114,14 +112,14 @@
         fleet_settings::start(agreement, nodes, config.seed, config.proxy_settings, parts)
     });
     if let Some(listener) = metrics_listener {
-        let measured = server.clone();
-        tokio::task::spawn_local(metrics::serve(listener, move || measured.gauges()));
+        let measured_server = server.clone();
+        tokio::task::spawn_local(metrics::serve(listener, move || measured_server.gauges()));
     }
-    tokio::task::spawn_local(follow_moved_discovery(reload, discovery, follower.clone()));
+    tokio::task::spawn_local(move_discovery_on_sighup(reload, discovery, follower.clone()));
     let stopped = async move {
         stop.recv().await;
         if let Some(follower) = follower {
-            // Requests in flight are served detached, and the slot is free for another proxy.
+            // Requests in flight are served without a session, and the slot becomes free for another proxy.
             tokio::task::spawn_local(async move { follower.close().await });
         }
     };
@@ -129,15 +127,15 @@
     Ok(())
 }
 
-/// Moves discovery, and the follower, to the addresses that the configuration file names on each SIGHUP.
-async fn follow_moved_discovery(
+/// On each SIGHUP, moves discovery and the follower to the addresses in the configuration file.
+async fn move_discovery_on_sighup(
     mut reload: Signals,
     discovery: Rc<Discovery>,
     follower: Option<Rc<Follower>>,
 ) {
     loop {
         reload.recv().await;
-        let addresses = read_moved_discovery(&mut reload).await;
+        let addresses = reread_discovery_addresses(&mut reload).await;
         let names: Vec<String> = addresses.iter().map(ToString::to_string).collect();
         let names = names.join(",");
         tracing::info!(addresses = names, "discovery has moved");
@@ -149,9 +147,9 @@
     }
 }
 
-/// The addresses of discovery in the configuration file now. A file that can't be read, as while it is being replaced,
-/// is read again: the present addresses will fall silent.
-async fn read_moved_discovery(reload: &mut Signals) -> Vec<SocketAddr> {
+/// Reads the discovery addresses in the configuration file. A file that can't be read, for example while it is being
+/// replaced, is read again, as the current addresses will stop answering.
+async fn reread_discovery_addresses(reload: &mut Signals) -> Vec<SocketAddr> {
     let mut backoff = MIN_RELOAD_BACKOFF;
     loop {
         match Config::moved_discovery() {
--- a/src/cli/proxy/tests.rs
+++ b/src/cli/proxy/tests.rs
@@ -4,29 +4,32 @@
 use linkhatch_proxy::os::descriptors::parse_max_open_files;
 
 #[test]
-fn clients_have_room_beside_a_third_of_the_descriptors_and_no_limit_is_passed() {
+fn clients_get_more_than_a_third_of_the_descriptors_and_the_limit_is_not_exceeded() {
     for sockets in [256, 384, 512, 1024, 2048, 4096, 65_536] {
-        let ConnectionLimits { clients, backends } = ConnectionLimits::of(sockets);
-        let taken = clients + clients / server::PLACES_PER_OVERFLOW;
+        let ConnectionLimits { clients, backends } = ConnectionLimits::from_descriptors(sockets);
+        let used_by_clients = clients + clients / server::PLACES_PER_OVERFLOW;
         assert!(clients > sockets / 3 + 16, "{clients} of {sockets}");
-        assert!(taken + backends + RESERVED_DESCRIPTORS <= sockets, "{taken} {backends} of {sockets}");
+        assert!(
+            used_by_clients + backends + RESERVED_DESCRIPTORS <= sockets,
+            "{used_by_clients} {backends} of {sockets}"
+        );
     }
 }
 
-/// A limit of this program's own would leave most of what is granted unused before 1,300 backends.
+/// A built-in limit would leave most of the granted descriptors unused by a proxy of 1,300 backends.
 #[test]
 fn all_granted_descriptors_are_divided_between_clients_and_backends() {
     for sockets in [1024, 4096] {
-        let ConnectionLimits { clients, backends } = ConnectionLimits::of(sockets);
+        let ConnectionLimits { clients, backends } = ConnectionLimits::from_descriptors(sockets);
         let unused =
             sockets - RESERVED_DESCRIPTORS - backends - clients - clients / server::PLACES_PER_OVERFLOW;
         assert!(unused <= 1, "{unused} of {sockets}");
     }
-    assert!(ConnectionLimits::of(4096).backends > 1300);
+    assert!(ConnectionLimits::from_descriptors(4096).backends > 1300);
 }
 
 #[test]
-fn beyond_the_default_the_system_limit_bounds_the_configured_one() {
+fn a_configured_limit_above_the_default_is_capped_by_the_system_limit() {
     let limits = "Limit                     Soft Limit           Hard Limit           Units     \n\
                   Max processes             63704                63704                processes \n\
                   Max open files            2048                 524288               files     \n";
--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing a version of the settings, and waiting for what becomes of it.
+//! Publishes a version of the settings, and waits for its result.
 
 use super::client::{Reply, Service};
 use super::error::CommandError;
@@ -9,19 +9,19 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-/// How often a version's status is polled.
+/// The interval at which a version's status is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Who publishes, and how long it is waited for.
+/// The author and the note of a version, and the wait for its commit.
 #[derive(Args, Debug)]
 pub struct Publisher {
-    /// Who publishes it.
+    /// The author of the version.
     #[arg(long)]
     by: String,
-    /// What for.
+    /// The reason for the change.
     #[arg(long, default_value = "")]
     pub note: String,
-    /// How many seconds to wait for its commit; 0: not at all.
+    /// Seconds to wait until the version is committed; 0 does not wait.
     #[arg(long, default_value_t = 15.0)]
     wait: f64,
 }
@@ -38,7 +38,7 @@
 /// Publishes a document over `parent`, and waits until it is committed, withdrawn or superseded.
 ///
 /// # Errors
-/// As [`CommandError`] says.
+/// See [`CommandError`].
 pub async fn publish(
     service: &Service,
     parent: u64,
@@ -58,7 +58,7 @@
     }
 }
 
-/// The error of a publication whose parent is not the head.
+/// The error for a publication whose parent is not the head.
 fn conflict(reply: &Reply) -> CommandError {
     let ConflictReply { error, head } = typed(&reply.body);
     let version = json!(head.version);
@@ -76,21 +76,21 @@
     let deadline = Instant::now() + Duration::try_from_secs_f64(wait_s).unwrap_or_default();
     loop {
         let reply = service.get(&format!("/v1/settings?version={version}")).await?;
-        let shown: VersionReply = typed(&reply);
-        let result = final_result(&shown);
+        let version_reply: VersionReply = typed(&reply);
+        let result = final_result(&version_reply);
         if result.is_some() || Instant::now() >= deadline {
-            service.print(&reply, || format!("version {version}: {}\n", shown.status));
+            service.print(&reply, || format!("version {version}: {}\n", version_reply.status));
             return match result {
                 Some(result) => result,
                 None if wait_s <= 0.0 => Ok(()),
-                None => Err(CommandError::NotCommitted { version, status: shown.status }),
+                None => Err(CommandError::NotCommitted { version, status: version_reply.status }),
             };
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// What a version came to; none while it may still be committed.
+/// The final result of a version; `None` while it may still be committed.
 fn final_result(version: &VersionReply) -> Option<Result<(), CommandError>> {
     match version.status.as_str() {
         "in force" | "replaced" => Some(Ok(())),
--- a/src/cli/replies.rs
+++ b/src/cli/replies.rs
@@ -1,12 +1,12 @@
-//! The list service's replies, as far as the commands read them. `--json` prints replies as they came.
+//! The fields of the list service's replies that the commands read. `--json` prints replies unchanged.
 //!
-//! A field that is missing has its default, so that commands work with nodes of other builds.
+//! A missing field gets its default, so that the commands work with nodes of other builds.
 
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// The typed form of a reply; its default where it is not of that form.
+/// Converts a reply to its type; returns the default if the reply does not match the type.
 pub fn typed<T: DeserializeOwned + Default>(reply: &Value) -> T {
     T::deserialize(reply).unwrap_or_default()
 }
@@ -63,9 +63,12 @@
 #[serde(default)]
 pub struct FleetReply {
     pub revision: Option<u64>,
-    pub list: u64,
-    pub committed: u64,
-    pub offered: Option<u64>,
+    #[serde(rename = "list")]
+    pub list_revision: u64,
+    #[serde(rename = "committed")]
+    pub committed_version: u64,
+    #[serde(rename = "offered")]
+    pub offered_version: Option<u64>,
     pub members: MembersReply,
     pub sessions: Vec<SessionReply>,
     pub ended: Vec<EndedReply>,
@@ -87,19 +90,23 @@
     pub slot: u32,
     #[serde(rename = "said")]
     pub last_renewal: RenewalReply,
-    /// Milliseconds until it expires; none on a node that does not receive renewals.
-    pub left_ms: Option<u64>,
+    /// Milliseconds until it expires; `None` on a node that does not receive renewals.
+    #[serde(rename = "leftMs")]
+    pub remaining_ms: Option<u64>,
 }
 
-/// What a proxy reported last.
+/// The state that a proxy reported with its last renewal.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct RenewalReply {
-    pub holds: u64,
+    #[serde(rename = "holds")]
+    pub held_version: u64,
     #[serde(rename = "inForce")]
     pub active_version: u64,
-    pub members: u64,
-    pub list: u64,
+    #[serde(rename = "members")]
+    pub members_revision: u64,
+    #[serde(rename = "list")]
+    pub list_revision: u64,
 }
 
 /// An ended session.
--- a/src/cli/settings.rs
+++ b/src/cli/settings.rs
@@ -12,64 +12,64 @@
 /// Versions of the settings that all proxies follow.
 #[derive(Subcommand, Debug)]
 pub enum Settings {
-    /// Shows the head, or one version, in the form that `put` takes back:
+    /// Shows the head, or one version, in the form that `put` accepts:
     /// `linkhatch-proxy settings get --at 127.0.0.1:7101 > rules.json`.
     Get {
-        /// Where to ask.
+        /// The list service.
         #[command(flatten)]
         service: Service,
-        /// Which version (default: the head).
+        /// The version (default: the head).
         #[arg(long)]
         version: Option<u64>,
     },
     /// Publishes a version: `linkhatch-proxy settings put rules.json --by kim --note "more attempts" --at 127.0.0.1:7101`.
     ///
-    /// The file holds what `get` printed, edited: its version is the one that this replaces. A bare document needs
-    /// `--parent`. Waits until the version is committed, withdrawn or superseded.
+    /// The file contains the edited output of `get`; its version is the one that the new version replaces. A bare
+    /// document needs `--parent`. Waits until the version is committed, withdrawn or superseded.
     Put {
-        /// Where to ask.
+        /// The list service.
         #[command(flatten)]
         service: Service,
-        /// The file.
+        /// The file with the document.
         file: String,
-        /// The version that it replaces; 0 for the first.
+        /// The version that the new version replaces; 0 for the first.
         #[arg(long)]
         parent: Option<u64>,
-        /// Who publishes.
+        /// The author, the note and the wait for the commit.
         #[command(flatten)]
         publisher: Publisher,
     },
-    /// Shows the keys by which two versions differ: `linkhatch-proxy settings diff 41 57 --at 127.0.0.1:7101`.
+    /// Shows the keys in which two versions differ: `linkhatch-proxy settings diff 41 57 --at 127.0.0.1:7101`.
     Diff {
-        /// Where to ask.
+        /// The list service.
         #[command(flatten)]
         service: Service,
-        /// The first.
+        /// The first version.
         from: u64,
-        /// The second (default: the head).
+        /// The second version (default: the head).
         to: Option<u64>,
     },
-    /// Lists every version kept, latest first.
+    /// Lists all retained versions, latest first.
     History {
-        /// Where to ask.
+        /// The list service.
         #[command(flatten)]
         service: Service,
     },
     /// Publishes an old version's document as a new version: `linkhatch-proxy settings rollback 41 --by kim --at …`.
     Rollback {
-        /// Where to ask.
+        /// The list service.
         #[command(flatten)]
         service: Service,
-        /// The version to go back to.
+        /// The version to return to.
         version: u64,
-        /// Who publishes.
+        /// The author, the note and the wait for the commit.
         #[command(flatten)]
         publisher: Publisher,
     },
     /// Prints a first document made from a proxy's configuration file: `linkhatch-proxy settings init config.json`.
     ///
-    /// Its floor is what that file says, with half of each quota and at most two attempts; edit it before the first
-    /// `put --parent 0`, for it may change with a restart of the fleet only.
+    /// Its fallback settings (`floor`) come from that file, with half of each quota and at most two attempts. Edit them
+    /// before the first `put --parent 0`, as they can be changed only with a restart of the fleet.
     Init {
         /// The proxy's configuration (JSON).
         file: String,
@@ -80,7 +80,7 @@
     /// Runs the command.
     ///
     /// # Errors
-    /// As [`CommandError`] says.
+    /// See [`CommandError`].
     pub async fn run(self) -> Result<(), CommandError> {
         match self {
             Self::Get { service, version } => get(&service, version).await,
@@ -93,7 +93,7 @@
     }
 }
 
-/// A version as the service shows it, or the head; null where none was published.
+/// The service's reply for a version, or for the head; null if no version was published.
 async fn version_or_head(service: &Service, version: Option<u64>) -> Result<Value, CommandError> {
     match version {
         Some(version) => service.get(&format!("/v1/settings?version={version}")).await,
@@ -125,7 +125,7 @@
     let Some(parent) = parent.or(version) else {
         return Err(CommandError::file(path, "a bare document needs --parent (0 for the first)"));
     };
-    // A document that is wrong is reported with its key before anything is sent.
+    // An invalid document is reported with its key before anything is sent.
     Document::parse(document.to_string().as_bytes()).map_err(|error| CommandError::file(path, error))?;
     publish(service, parent, &document, publisher).await
 }
--- a/src/cli/tables.rs
+++ b/src/cli/tables.rs
@@ -1,4 +1,4 @@
-//! The text that commands print.
+//! The text output of the commands.
 
 use super::replies::{EndedReply, FleetReply, HistoryReply, SessionReply, VersionReply};
 use linkhatch_proxy::agreement::document::Difference;
@@ -33,14 +33,14 @@
     differences.iter().map(line).collect()
 }
 
-/// The fleet's status: a line on the whole, and one for each session.
+/// The fleet's status: one line for the fleet, and one for each session.
 pub fn fleet(fleet: &FleetReply) -> String {
-    let offered = fleet.offered.map_or(String::new(), |version| format!(", {version} offered"));
+    let offered = fleet.offered_version.map_or(String::new(), |version| format!(", {version} offered"));
     let mut text = format!(
         "revision {}, list {}, settings {}{offered}, slots {}\n",
         number(fleet.revision),
-        fleet.list,
-        fleet.committed,
+        fleet.list_revision,
+        fleet.committed_version,
         fleet.members.slots
     );
     text += &format!(
@@ -54,17 +54,17 @@
 
 fn session(session: &SessionReply, fleet: &FleetReply) -> String {
     let renewal = &session.last_renewal;
-    let state = if renewal.active_version == fleet.committed { "attached" } else { "behind" };
+    let state = if renewal.active_version == fleet.committed_version { "attached" } else { "behind" };
     format!(
         "{:<20} {:>5} {:>9} {state:<9} {:>9} {:>9} {:>9} {:>8} {:>8}\n",
         session.name,
         session.slot,
         session.session,
-        renewal.holds,
+        renewal.held_version,
         renewal.active_version,
-        renewal.members,
-        fleet.list.saturating_sub(renewal.list),
-        session.left_ms.unwrap_or(0)
+        renewal.members_revision,
+        fleet.list_revision.saturating_sub(renewal.list_revision),
+        session.remaining_ms.unwrap_or(0)
     )
 }
 
--- a/src/simulator/fields.rs
+++ b/src/simulator/fields.rs
@@ -1,4 +1,4 @@
-//! The values of a line, each read as the type that its field has.
+//! Parses the values of a line into the types of their fields.
 
 use super::error::{Result, WireError};
 use crate::balancer::types::{Outcome, RequestId};
@@ -7,7 +7,7 @@
 /// The number of hex digits of a request's id.
 const REQUEST_ID_DIGITS: usize = 16;
 
-/// Splits the values of a line, of which there must be exactly `N`.
+/// Splits a line into its values; there must be exactly `N`.
 pub(super) fn values<'a, const N: usize>(event: &'static str, text: &'a str) -> Result<[&'a str; N]> {
     let mut found = [""; N];
     let mut got = 0;
@@ -25,7 +25,7 @@
     }
 }
 
-/// A finite number.
+/// Parses a finite number.
 pub(super) fn number(field: &str, text: &str) -> Result<f64> {
     match text.parse::<f64>() {
         Ok(number) if number.is_finite() => Ok(number),
@@ -33,7 +33,7 @@
     }
 }
 
-/// A finite number of at least 0.
+/// Parses a finite number of at least 0.
 pub(super) fn non_negative(field: &str, text: &str) -> Result<f64> {
     match number(field, text)? {
         number if number >= 0.0 => Ok(number),
@@ -53,9 +53,9 @@
     }
 }
 
-/// A value that is absent where the text is `-`.
-pub(super) fn optional<T>(text: &str, read: impl FnOnce(&str) -> Result<T>) -> Result<Option<T>> {
-    if text == "-" { Ok(None) } else { read(text).map(Some) }
+/// Parses an optional value; `-` means that it is absent.
+pub(super) fn optional<T>(text: &str, parse: impl FnOnce(&str) -> Result<T>) -> Result<Option<T>> {
+    if text == "-" { Ok(None) } else { parse(text).map(Some) }
 }
 
 pub(super) fn request_id(text: &str) -> Result<RequestId> {
@@ -79,7 +79,7 @@
     })
 }
 
-/// Checks a load report. The balancer makes no use of it.
+/// Checks the syntax of a load report. The balancer does not use load reports.
 pub(super) fn load_report(text: &str) -> Result<()> {
     text.split(',').filter(|v| *v != "-").try_for_each(|value| number("the load report", value).map(drop))
 }
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -1,4 +1,4 @@
-//! The host of the simulator's instances: it plays batches of events and writes one reply for each.
+//! The host of the simulator's instances: it processes batches of events and writes one reply for each.
 
 #[cfg(test)]
 mod tests;
@@ -30,15 +30,15 @@
         batch: u64,
         /// The number of the line, from 1.
         line: u64,
-        /// What is wrong with it.
+        /// The error in it.
         source: WireError,
     },
-    /// An invalid line where a batch must begin.
+    /// A line between batches that does not start a valid batch.
     #[error("between batches, line {line}: {source}")]
     InvalidStart {
         /// The number of the line, from 1.
         line: u64,
-        /// What is wrong with it.
+        /// The error in it.
         source: WireError,
     },
     /// The input ended within a batch.
@@ -51,7 +51,7 @@
     },
 }
 
-/// Plays all batches of `input` and writes their replies to `output`.
+/// Processes all batches of `input` and writes their replies to `output`.
 ///
 /// # Errors
 /// At the first invalid line, and if reading or writing fails.
@@ -67,8 +67,9 @@
             batch = Some(started.map_err(|source| HostError::InvalidStart { line, source })?);
             continue;
         };
-        let played = host.play_line(&text);
-        let is_complete = played.map_err(|source| HostError::InvalidLine { batch: number, line, source })?;
+        let processed = host.process_line(&text);
+        let is_complete =
+            processed.map_err(|source| HostError::InvalidLine { batch: number, line, source })?;
         if is_complete {
             host.reply.push_str(&format!("END {number}\n"));
             output.write_all(host.reply.as_bytes()).map_err(HostError::Write)?;
@@ -94,8 +95,8 @@
 #[derive(Clone, Copy)]
 struct OpenList {
     list: usize,
-    /// The number of entries that are missing, at least 1.
-    missing: usize,
+    /// The number of entries still to be read, at least 1.
+    remaining: usize,
 }
 
 #[derive(Default)]
@@ -108,7 +109,7 @@
     selected: Option<usize>,
     now: Time,
     reply: String,
-    /// The instance that the last actions in the reply are of.
+    /// The instance whose actions were written to the reply last.
     reply_instance: Option<usize>,
 }
 
@@ -124,16 +125,16 @@
         Ok(number)
     }
 
-    /// Plays a line of a batch; returns whether the batch is complete.
-    fn play_line(&mut self, text: &str) -> Result<bool, WireError> {
+    /// Processes a line of a batch; returns whether the batch is complete.
+    fn process_line(&mut self, text: &str) -> Result<bool, WireError> {
         let running = self.selected.and_then(|selected| self.instances[selected].running.as_ref());
         let line = wire::parse(text, &mut self.zones, running.map(|running| &running.names))?;
-        if let Some(OpenList { list, missing }) = self.open_list.take() {
+        if let Some(OpenList { list, remaining }) = self.open_list.take() {
             let Line::ListEntry(entry) = line else {
                 return Err(WireError::out_of_order("an ITEM line", text));
             };
             self.lists[list].push(entry);
-            self.open_list = (missing > 1).then_some(OpenList { list, missing: missing - 1 });
+            self.open_list = (remaining > 1).then_some(OpenList { list, remaining: remaining - 1 });
             return Ok(false);
         }
         match line {
@@ -145,7 +146,7 @@
             Line::InstanceSelected(name) => self.select(name),
             Line::ListStarted { list, entries } => {
                 self.lists[list].clear();
-                self.open_list = (entries > 0).then_some(OpenList { list, missing: entries });
+                self.open_list = (entries > 0).then_some(OpenList { list, remaining: entries });
             }
             Line::InstanceStarted { seed, settings, names } => {
                 let balancer = Balancer::new(self.now, seed, *settings);
@@ -162,8 +163,8 @@
     }
 
     fn select(&mut self, name: &str) {
-        let known = self.by_name.get(name).copied();
-        self.selected = Some(known.unwrap_or_else(|| {
+        let existing = self.by_name.get(name).copied();
+        self.selected = Some(existing.unwrap_or_else(|| {
             self.by_name.insert(name.to_string(), self.instances.len());
             self.instances.push(Instance { name: name.to_string(), running: None });
             self.instances.len() - 1
@@ -204,7 +205,7 @@
             self.reply_instance = self.selected;
         }
         if let Err(panic) = handled {
-            // The actions up to the panic are not trusted.
+            // The actions returned up to the panic are discarded as unreliable.
             self.reply.push_str(&format!("DIE {}\n", panic_message(panic.as_ref())));
             return Ok(());
         }
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,8 +1,8 @@
 //! The simulator adapter: balancers driven by the simulator's text protocol.
 //!
-//! [`host`] plays batches of events from an input and writes the replies; [`wire`] translates lines to events
+//! [`host`] processes batches of events from an input and writes the replies; [`wire`] translates lines to events
 //! and actions to lines; [`settings`] maps the protocol's settings to the balancer's. The protocol's own
-//! words stand in these modules only.
+//! terms are used in these modules only.
 
 mod error;
 mod fields;
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an instance: `path=value` pairs in the protocol's words, mapped to the balancer's
+//! The settings of an instance: `path=value` pairs in the protocol's terms, mapped to the balancer's
 //! [`Settings`].
 
 use super::error::{Result, WireError};
@@ -7,12 +7,12 @@
 use std::collections::HashMap;
 use std::str::FromStr;
 
-/// Numbers for names, in the order in which the names are first met.
+/// Numbers names in the order in which they first occur.
 #[derive(Debug, Default)]
 pub struct NameIndex(HashMap<String, u32>);
 
 impl NameIndex {
-    /// The number of a name.
+    /// The number of a name; a new name gets the next number.
     pub fn index(&mut self, name: &str) -> u32 {
         if let Some(&index) = self.0.get(name) {
             return index;
@@ -23,7 +23,7 @@
     }
 }
 
-/// The names that an instance's requests use; the balancer knows their indexes only.
+/// The names that an instance's requests use; the balancer sees their indexes only.
 #[derive(Clone, Debug, Default)]
 pub struct InstanceNames {
     classes: Vec<String>,
@@ -45,7 +45,7 @@
 /// Reads the settings of an instance. Settings that the balancer does not use are ignored.
 ///
 /// # Errors
-/// If a required setting is missing, or a value cannot be read.
+/// If a required setting is missing, or a value cannot be parsed.
 pub fn parse(pairs: &str, zones: &mut NameIndex) -> Result<(Settings, InstanceNames)> {
     let source = SettingsSource::new(pairs)?;
     let (classes, class_names) = classes(&source)?;
@@ -144,7 +144,7 @@
     Ok(0.0)
 }
 
-/// The values of settings, by path.
+/// The values of the settings by path.
 struct SettingsSource<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> SettingsSource<'a> {
--- a/src/simulator/wire.rs
+++ b/src/simulator/wire.rs
@@ -1,6 +1,6 @@
-//! The lines of the simulator's protocol: input lines are read as [`Line`]s, actions written as reply lines.
+//! The lines of the simulator's protocol: parses input lines into [`Line`]s and writes actions as reply lines.
 //!
-//! The names of classes, tenants and zones become indexes here.
+//! The names of classes, tenants and zones are replaced by indexes here.
 
 use super::error::{Result, WireError};
 use super::fields::{
@@ -51,7 +51,7 @@
     ListEntry(EndpointEntry),
     /// The instance's endpoint list changed.
     Update {
-        /// What the list means.
+        /// The meaning of the list.
         kind: UpdateKind,
         /// The number of the list.
         list: usize,
@@ -62,23 +62,23 @@
     Ignored,
 }
 
-/// What the list of an `UPDATE` means.
+/// The meaning of the list of an `UPDATE`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
     /// The entries that changed.
     Changes,
     /// The complete list.
     Snapshot,
-    /// The complete list as it was cached.
+    /// The complete list from the cache.
     Cached,
-    /// Nothing: a poll failed.
+    /// There is no list, as a poll failed.
     PollFailed,
 }
 
-/// Reads a line. `names` are those of the selected instance, once that has started.
+/// Parses a line. `names` are those of the selected instance, if it has started.
 ///
 /// # Errors
-/// If the line is unknown, or has values that cannot be read.
+/// If the line is unknown, or has values that cannot be parsed.
 pub fn parse<'a>(line: &'a str, zones: &mut NameIndex, names: Option<&InstanceNames>) -> Result<Line<'a>> {
     let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
     match name {
@@ -129,7 +129,7 @@
 fn endpoint_entry(rest: &str, zones: &mut NameIndex) -> Result<EndpointEntry> {
     let [machine_type, failure_domain, id, weight, zone, status, started_at] = values("ITEM", rest)?;
     Ok(EndpointEntry {
-        // 0 is an instant long past.
+        // 0 means a start in the distant past.
         started_at: optional(started_at, |text| number("the start", text))?.filter(|at| *at != 0.0),
         id: BackendId(integer("the backend", id)?),
         machine_type: name_hash(machine_type),
@@ -174,18 +174,18 @@
 
 fn request(rest: &str, names: Option<&InstanceNames>) -> Result<Request> {
     let [id, is_write, key, timeout, is_retry, tenant, class, work] = values("QUERY", rest)?;
-    flag("the write mark", is_write)?;
+    flag("the write flag", is_write)?;
     let key = optional(key, |text| {
         request_id(text).map_err(|_| WireError::invalid_value("the key", "16 hex digits or -", text))
     })?;
-    optional(is_retry, |text| flag("the retry mark", text))?;
+    optional(is_retry, |text| flag("the retry flag", text))?;
     let work_estimate = optional(work, |text| non_negative("the predicted work", text))?;
     let names = names.ok_or_else(|| WireError::out_of_order("HELLO before any request", "QUERY"))?;
     let class = names.class(class);
     let class =
         class.ok_or_else(|| WireError::invalid_value("the class", "a class of the settings", rest))?;
     Ok(Request {
-        timeout: number("the time left", timeout)?,
+        timeout: number("the remaining time", timeout)?,
         id: request_id(id)?,
         class,
         tenant: names.tenant(tenant),
@@ -210,7 +210,7 @@
         attempt: integer("the attempt", attempt)?,
         outcome: outcome(code)?,
         elapsed: non_negative("the duration", elapsed)?,
-        request_done: flag("the end mark", request_done)?,
+        request_done: flag("the completion flag", request_done)?,
     })
 }
 
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -428,7 +428,7 @@
     }
     let _ = child.kill();
     let _ = child.wait();
-    assert!(lines[0].contains("taking the embedded sample"), "{lines:?}");
+    assert!(lines[0].contains("using the embedded sample"), "{lines:?}");
     assert!(lines[1].starts_with("linkhatch-proxy: listening on 127.0.0.1:"), "{lines:?}");
 }
 
