--- a/src/config_file.rs
+++ b/src/config_file.rs
@@ -1,5 +1,5 @@
-//! Reads the TOML configuration files of the fleet's services (a list-service node, a lease holder), with the errors that they
-//! share.
+//! Reads the TOML configuration files of the fleet's services (a list-service node, a lease holder), and defines their
+//! common errors.
 
 use serde::de::DeserializeOwned;
 use thiserror::Error;
@@ -21,19 +21,19 @@
     Toml {
         /// The file.
         path: String,
-        /// What is wrong, and where.
+        /// The error and its position.
         #[source]
         error: toml::de::Error,
     },
-    /// A value out of its range.
+    /// A value is out of its range.
     #[error("{0}")]
     Value(&'static str),
 }
 
-/// Reads a TOML file of the fleet's services into `T`; its values are for the caller to check.
+/// Reads a TOML file of the fleet's services into `T`; the caller must check its values.
 ///
 /// # Errors
-/// `Read` where the file can't be read, `Toml` where it is malformed or has an unknown key.
+/// `Read` if the file can't be read, `Toml` if it is malformed, lacks a value or has an unknown key.
 pub fn read_toml<T: DeserializeOwned>(path: &str) -> Result<T, ConfigError> {
     let text =
         std::fs::read_to_string(path).map_err(|error| ConfigError::Read { path: path.into(), error })?;
--- a/src/guard/mod.rs
+++ b/src/guard/mod.rs
@@ -1,9 +1,9 @@
-//! Checks the invariants of the proxy at the last moment before it acts: before it sends an attempt, closes a client's
+//! Checks the invariants of the proxy immediately before it acts: before it sends an attempt, closes a client's
 //! connection or exits.
 //!
-//! Pure: the guard is told the time and the state, decides, and counts. It counts two things for each [`Invariant`]:
-//! violations that it *prevented*, and violations that it *detected* although it had permitted the act, as when the
-//! process was suspended between reading its clock and writing. A detected violation is always logged; where
+//! The guard's decisions are pure functions of the time and the state that it is given. For each [`Invariant`] it
+//! counts the violations that it *prevented*, and those that it *detected* although it had permitted the act, for
+//! example because the process was suspended between reading its clock and writing. A detected violation is always logged; if
 //! `LINKHATCH_STRICT` is set, as in the soak test, it aborts the process.
 
 use crate::balancer::types::{Idempotency, Outcome, Time};
@@ -11,10 +11,10 @@
 pub use crate::telemetry::reason::Invariant;
 use std::cell::{Cell, RefCell};
 
-/// How much more time than the client has left may be announced to a backend, in seconds.
+/// The tolerance, in seconds, by which the time announced to a backend may exceed the client's remaining time.
 pub const DEADLINE_TOLERANCE_S: Time = 0.15;
 
-/// The attempts of one request, as far as the decision to retry it depends on them.
+/// The attempts of one request that the decision to retry it depends on.
 #[derive(Debug, Default)]
 pub struct AttemptHistory {
     idempotency: Cell<Option<Idempotency>>,
@@ -48,18 +48,18 @@
     }
 }
 
-/// An attempt just before it is sent. All times are instants of one clock, in seconds.
+/// An attempt just before it is sent. All times are readings of one clock, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptState<'a> {
     /// Its number among the attempts of its request.
     pub number: usize,
     /// The other attempts of its request.
     pub history: &'a AttemptHistory,
-    /// When sends to its backend stop, if the backend is draining or removed.
+    /// The time from which nothing is sent to its backend, if the backend is draining or removed.
     pub send_cutoff: Option<Time>,
-    /// When the grace period of that backend is over.
+    /// The end of that backend's grace period.
     pub grace_deadline: Option<Time>,
-    /// It must not start later, as a duplicate may be executed from then on.
+    /// The time from which it must not be sent, as a duplicate may be executed from then on.
     pub send_deadline: Option<Time>,
     /// When the client stops waiting.
     pub deadline: Time,
@@ -81,7 +81,7 @@
 }
 
 impl Permit {
-    /// The time that the client still waits, in seconds, as it is announced to the backend.
+    /// The client's remaining time, in seconds, as announced to the backend.
     pub fn remaining(&self) -> Time {
         self.remaining
     }
@@ -96,17 +96,17 @@
 }
 
 impl Guard {
-    /// A guard; a strict one aborts the process at the first violation that the program itself caused.
+    /// Makes a guard; a strict one aborts the process at the first violation that the program itself caused.
     pub fn new(is_strict: bool) -> Self {
         Self { is_strict, ..Self::default() }
     }
 
-    /// How often a violation of the invariant was prevented.
+    /// The number of prevented violations of the invariant.
     pub fn prevented(&self, invariant: Invariant) -> u64 {
         self.prevented[invariant as usize].get()
     }
 
-    /// How often a violation of the invariant was detected.
+    /// The number of detected violations of the invariant.
     pub fn violated(&self, invariant: Invariant) -> u64 {
         self.violated[invariant as usize].get()
     }
@@ -123,7 +123,7 @@
         count.set(count.get() + 1);
         metrics::count(CountedEvent::ViolationDetected(invariant));
         tracing::error!(target: "violation", promise = invariant.label(), late_by, "invariant violated");
-        // An act that was late may have been delayed by the system, which is no fault of this program by itself.
+        // A late act may have been delayed by the system, which is not in itself a fault of this program.
         if self.is_strict && late_by <= 0.0 {
             std::process::abort();
         }
@@ -159,8 +159,8 @@
         Ok(Permit { number, grace_deadline, send_deadline, deadline, remaining })
     }
 
-    /// Detects whether a permitted attempt, which was handed to the system by `now`, was sent too late.
-    pub fn written(&self, now: Time, permit: &Permit) {
+    /// Detects whether a permitted attempt was sent too late; it was handed to the system at or before `now`.
+    pub fn attempt_written(&self, now: Time, permit: &Permit) {
         if let Some(grace_deadline) = permit.grace_deadline.filter(|deadline| now > *deadline) {
             self.report_violation(Invariant::Drain, now - grace_deadline);
         }
@@ -174,30 +174,30 @@
         }
     }
 
-    /// Takes a permit back: its attempt was not sent.
-    pub fn not_written(&self, history: &AttemptHistory, permit: &Permit) {
+    /// Revokes a permit whose attempt was not sent.
+    pub fn attempt_not_written(&self, history: &AttemptHistory, permit: &Permit) {
         history.forget(permit.number);
     }
 
-    /// A client's connection is closed while a request on it is in flight.
+    /// Records that a client's connection is closed while a request on it is in flight.
     pub fn connection_closed_in_flight(&self, is_closed_by_client: bool) {
         if !is_closed_by_client {
             self.report_violation(Invariant::Close, 0.0);
         }
     }
 
-    /// Whether the process may exit, given whether answers are owed and whether clients still wait for them.
-    pub fn may_exit(&self, owes_answers: bool, clients_wait: bool) -> bool {
-        let may_exit = !(owes_answers && clients_wait);
+    /// Whether the process may exit: not while answers are pending and clients still wait for them.
+    pub fn may_exit(&self, answers_pending: bool, clients_waiting: bool) -> bool {
+        let may_exit = !(answers_pending && clients_waiting);
         if !may_exit {
             self.prevent(Invariant::Exit);
         }
         may_exit
     }
 
-    /// The process exits.
-    pub fn process_exits(&self, owes_answers: bool, clients_wait: bool) {
-        if owes_answers && clients_wait {
+    /// Records that the process exits.
+    pub fn process_exits(&self, answers_pending: bool, clients_waiting: bool) {
+        if answers_pending && clients_waiting {
             self.report_violation(Invariant::Exit, 0.0);
         }
     }
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 client of one address, for the calls of nodes and proxies to the list service.
+//! An HTTP/1.1 client for one address, for the calls of nodes and proxies to the list service.
 
 use crate::os::sockets::{self, Socket};
 use bytes::Bytes;
@@ -11,18 +11,18 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The most bytes of a reply's body.
+/// The maximum size of a reply's body.
 const MAX_REPLY_BYTES: usize = 8 << 20;
 /// The `Host` header of calls to the list service.
 const LIST_SERVICE_HOST: &str = "list";
 
-/// Why a call has no usable reply.
+/// Why a call did not return a usable reply.
 #[derive(Debug, Error)]
 pub enum CallError {
     /// The connection was never established: the call was not sent.
     #[error("no connection: {0}")]
     Connect(#[source] std::io::Error),
-    /// The connection failed after that, so the call may have been received.
+    /// The connection failed after it was established, so the call may have been received.
     #[error("{0}")]
     Http(#[from] hyper::Error),
     /// The reply's body could not be read, or is too long.
@@ -39,15 +39,15 @@
     Timeout,
 }
 
-/// A client of one address. It connects when first needed and reuses the connection from call to call. After any failure
-/// it connects anew, so that a connection which a fault has silenced costs one timeout.
+/// A client for one address. It connects for the first call and reuses the connection for further calls. After any
+/// failure it reconnects, so that a connection that a fault has made unresponsive costs one timeout.
 pub struct HttpClient {
     address: SocketAddr,
     connection: Option<SendRequest<Full<Bytes>>>,
 }
 
 impl HttpClient {
-    /// Makes a client of `address`, not yet connected.
+    /// Makes a client for `address`, not yet connected.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, connection: None }
     }
@@ -55,7 +55,7 @@
     /// Makes one call and returns the reply with its complete body.
     ///
     /// # Errors
-    /// As [`CallError`] says, `Timeout` once `timeout` has passed; the connection is then closed.
+    /// See [`CallError`]; `Timeout` once `timeout` has passed. After an error the connection is closed.
     pub async fn call(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -92,13 +92,13 @@
     Ok(sender)
 }
 
-/// Makes a `POST` of a JSON body to the list service.
+/// Makes a `POST` request with a JSON body for the list service.
 ///
 /// # Errors
-/// `Json` where the body does not serialize.
+/// `Json` if the body cannot be serialized.
 pub fn post_json(path: &str, body: &impl Serialize) -> Result<Request<Full<Bytes>>, CallError> {
     let body = serde_json::to_vec(body)?;
     let request = Request::post(path).header("host", LIST_SERVICE_HOST);
-    // A valid path always makes a request.
+    // Building the request cannot fail for a valid path.
     Ok(request.body(Full::new(body.into())).unwrap_or_default())
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! A load-balancing HTTP/1.1 proxy for services that call services, and the control services of its fleet.
+//! A load-balancing HTTP/1.1 proxy for service-to-service calls, and the control services of its fleet.
 //!
 //! [`Balancer`] makes every routing decision. It is a state machine without I/O: it takes events with the time at which
-//! they happened, and returns actions. [`proxy`] runs it on sockets, [`simulator`] on the simulator's wire.
+//! they happened, and returns actions. [`proxy`] runs it on sockets, [`simulator`] on the simulator's protocol.
 #![forbid(unsafe_code)]
 
 pub mod agreement;
@@ -19,7 +19,7 @@
 pub use balancer::Balancer;
 pub use balancer::types::*;
 
-/// The example of the front page, run as a test.
+/// The example in the README, run as a test.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! The product's program: without a subcommand the proxy, configured from the environment; with one, one of the
-//! fleet's services or an operators' command.
+//! The program's entry point: without a subcommand it runs the proxy, configured from the environment; with a
+//! subcommand it runs one of the fleet's services or an operators' command.
 
 #![forbid(unsafe_code)]
 
--- a/src/os/files.rs
+++ b/src/os/files.rs
@@ -1,24 +1,24 @@
-//! Files that are replaced atomically: after a crash either the old or the new one is there, complete.
+//! Files that are replaced atomically: after a crash either the complete old file or the complete new one exists.
 
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::Path;
 
-/// What is appended to a file's name for the new one until it is complete.
+/// The suffix of a new file's name until the file is complete.
 const TEMPORARY_SUFFIX: &str = ".new";
 
 /// Fsyncs a directory, so that a rename in it is durable.
 ///
 /// # Errors
-/// The system's.
+/// Returns the system's error.
 pub fn sync_dir(dir: &Path) -> io::Result<()> {
     File::open(dir)?.sync_all()
 }
 
-/// Replaces the file `name` in `dir` by one that holds `bytes`, atomically and durably; returns it open for writing.
+/// Replaces the file `name` in `dir` by one that contains `bytes`, atomically and durably; returns it open for writing.
 ///
 /// # Errors
-/// The system's; the old file is then still there, or the new one, complete.
+/// Returns the system's error; then either the old file or the complete new one exists.
 pub fn replace(dir: &Path, name: &str, bytes: &[u8]) -> io::Result<File> {
     let temporary = dir.join(format!("{name}{TEMPORARY_SUFFIX}"));
     let mut file = File::create(&temporary)?;
--- a/src/os/mod.rs
+++ b/src/os/mod.rs
@@ -1,6 +1,6 @@
-//! Operating system calls, and what a failed one means:
+//! Operating system calls, and the meaning of their failures:
 //!
-//! - [`sockets`]: TCP connections that survive interrupted calls and passing shortages.
+//! - [`sockets`]: TCP connections that survive interrupted calls and temporary shortages.
 //! - [`signals`]: the signals that stop or reload the process.
 //! - [`descriptors`]: the limit of open file descriptors.
 //! - [`files`]: files that are replaced atomically.
--- a/src/os/signals.rs
+++ b/src/os/signals.rs
@@ -1,7 +1,7 @@
-//! Signals of the system, received whatever interrupts the calls by which they are read.
+//! Signals of the system, received even if the calls that read them are interrupted.
 //!
-//! The runtime's own signal handling ends the process where a read of its pipe is interrupted; this one reads a pipe of
-//! its own, as all sockets are read here ([`crate::os::sockets`]).
+//! The runtime's own signal handling ends the process if a read of its pipe is interrupted. This module reads a
+//! separate pipe in the same way as all sockets are read ([`crate::os::sockets`]).
 
 use crate::os::sockets::retry_interrupted;
 use signal_hook::low_level::pipe;
@@ -10,12 +10,12 @@
 
 pub use signal_hook::consts::{SIGHUP, SIGTERM};
 
-/// Bytes read from the pipe at once; each is a signal.
+/// The number of bytes read from the pipe at once; each byte is a signal.
 const READ_BUFFER_BYTES: usize = 64;
 
 /// A receiver of one kind of signal.
 pub struct Signals {
-    /// Gets a byte for each signal.
+    /// Receives a byte for each signal.
     pipe: UnixStream,
 }
 
@@ -23,7 +23,7 @@
     /// Receives `signal` from now on, in place of its default action.
     ///
     /// # Errors
-    /// Where no pipe can be made, or the signal's handler cannot be set.
+    /// If no pipe can be created, or the signal's handler cannot be set.
     pub fn listen(signal: i32) -> io::Result<Self> {
         let (receiver, sender) = std::os::unix::net::UnixStream::pair()?;
         receiver.set_nonblocking(true)?;
--- a/src/os/sockets.rs
+++ b/src/os/sockets.rs
@@ -1,9 +1,9 @@
-//! TCP sockets whose calls fail for a moment, and the classification of those failures.
+//! TCP sockets that survive temporary failures of system calls, and the classification of failures.
 //!
-//! A system call is done, is to be made again, or has failed for good. Interrupted calls (EINTR) are made again here, so
-//! that no caller takes an interruption for the end of a connection. A shortage of this machine's own (descriptors,
-//! buffers, ports, routes) passes, and says nothing of the other side. A read or a write may also be short for no stated
-//! reason: whoever waits relies on EAGAIN alone.
+//! A system call has succeeded, must be retried, or has failed permanently. Interrupted calls (EINTR) are retried here,
+//! so that no caller mistakes an interruption for the end of a connection. A shortage on this machine (descriptors,
+//! buffers, ports, routes) is temporary, and does not mean that the peer has failed. A read or a write may also be
+//! short for no stated reason, so only EAGAIN means that a caller has to wait.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::net::SocketAddr;
@@ -13,29 +13,29 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// How often in a row an interrupted call is made again at once; after that other tasks run first.
-const MAX_INTERRUPTIONS: usize = 64;
-/// The first wait before a connection is tried again after a shortage; it doubles with each further one.
+/// The maximum number of consecutive interruptions of a call; after that other tasks run before it is retried.
+const MAX_CONSECUTIVE_INTERRUPTIONS: usize = 64;
+/// The initial wait before a connection attempt is retried after a shortage; it doubles with each further shortage.
 const MIN_CONNECT_BACKOFF: Duration = Duration::from_millis(1);
-/// The longest wait before a connection is tried again after a shortage.
+/// The maximum wait before a connection attempt is retried after a shortage.
 const MAX_CONNECT_BACKOFF: Duration = Duration::from_millis(20);
-/// The wait before a connection is accepted again after a shortage.
+/// The wait before accepting is retried after a shortage.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a failed system call means.
+/// The meaning of a failed system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// There is nothing to do now: whoever waits is notified when there is.
+    /// The socket is not ready; the caller is notified when it is.
     NotReady,
-    /// It was interrupted, or concerned one connection that is gone: it is to be made again at once.
+    /// The call was interrupted, or concerned one connection that is gone: it must be retried at once.
     Retry,
-    /// This machine was short of something: it is to be made again in a moment.
+    /// This machine was short of a resource: the call must be retried after a short wait.
     Shortage,
-    /// The other side, or the way to it, has failed.
+    /// The peer, or the network path to it, has failed.
     Peer,
 }
 
-/// Classifies the failure of a call on a connection, or of one that makes a connection.
+/// Classifies the failure of a call on a connection, or of a call that establishes one.
 pub fn classify(error: &io::Error) -> Failure {
     match error.kind() {
         ErrorKind::WouldBlock => return Failure::NotReady,
@@ -56,8 +56,9 @@
     }
 }
 
-/// Classifies the failure of accepting a connection; the listener itself never fails for good. An error of a connection
-/// that was waiting is returned as one of accepting, and the next connection is to be accepted at once (`accept(2)`).
+/// Classifies the failure of accepting a connection; the listener itself never fails permanently. An error of a
+/// pending connection is returned as an error of accepting, and the next connection must be accepted at once
+/// (`accept(2)`).
 pub fn classify_accept(error: &io::Error) -> Failure {
     match (classify(error), error.raw_os_error()) {
         (Failure::Shortage, Some(libc::ENETUNREACH | libc::ENETDOWN)) | (Failure::Peer, _) => Failure::Retry,
@@ -65,12 +66,12 @@
     }
 }
 
-/// Makes `call` again for as long as it is interrupted.
+/// Repeats `call` for as long as it is interrupted.
 ///
 /// # Errors
-/// The call's; `Interrupted` where it was interrupted many times in a row, which counts as not ready.
+/// The call's error; `Interrupted` if it was interrupted many times in a row, which counts as not ready.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 0..MAX_INTERRUPTIONS {
+    for _ in 0..MAX_CONSECUTIVE_INTERRUPTIONS {
         match call() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             result => return result,
@@ -79,11 +80,11 @@
     Err(ErrorKind::Interrupted.into())
 }
 
-/// Connects, and disables the delay of small writes. Tries again while this machine is short of something; the caller sets
+/// Connects, and disables the delay of small writes. Retries while this machine is short of a resource; the caller sets
 /// a timeout.
 ///
 /// # Errors
-/// The failure of the other side, or of the way to it.
+/// The failure of the peer, or of the network path to it.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let mut backoff = MIN_CONNECT_BACKOFF;
     loop {
@@ -103,7 +104,7 @@
     }
 }
 
-/// Accepts the next connection, whatever fails meanwhile.
+/// Accepts the next connection; failures are retried.
 pub async fn accept(listener: &TcpListener) -> (TcpStream, SocketAddr) {
     loop {
         match listener.accept().await {
@@ -129,12 +130,12 @@
         Self(stream)
     }
 
-    /// The stream itself.
+    /// The wrapped stream.
     pub fn stream(&self) -> &TcpStream {
         &self.0
     }
 
-    /// Makes a read or a write once the socket is ready for it.
+    /// Performs a read or a write once the socket is ready for it.
     fn poll_call<T>(
         cx: &mut Context<'_>,
         mut poll_ready: impl FnMut(&mut Context<'_>) -> Poll<io::Result<()>>,
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -87,11 +87,11 @@
                 && error.message().is_some()
             {
                 if let Some(permit) = permit.take() {
-                    request.guard.not_written(&request.history, &permit);
+                    request.guard.attempt_not_written(&request.history, &permit);
                 }
             } else if is_queued && let Some(permit) = permit.take() {
                 // The last poll queued it, and the connection has handed it to the system since.
-                request.guard.written(clock.now(), &permit);
+                request.guard.attempt_written(clock.now(), &permit);
             }
             is_queued = true;
             response
--- a/src/telemetry/metrics/endpoint.rs
+++ b/src/telemetry/metrics/endpoint.rs
@@ -1,7 +1,7 @@
 //! The listener that serves the metrics: `GET /metrics`, one answer for each connection.
 //!
-//! Its connections are few and short, as they take descriptors that are reserved beside those of clients and backends: a
-//! peer that sends nothing, or does not read its answer, holds one for a moment only.
+//! The number and the duration of its connections are limited, as they use descriptors reserved apart from those of
+//! clients and backends: a peer that sends nothing, or does not read its answer, occupies a descriptor only briefly.
 
 use super::{Gauges, IS_SERVED, encode};
 use crate::os::sockets::{self, Socket};
@@ -23,9 +23,9 @@
 /// The media type of the OpenMetrics text format.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// The most connections at once; further ones wait in the listener's backlog.
+/// The maximum number of simultaneous connections; further ones wait in the listener's backlog.
 const MAX_CONNECTIONS: usize = 8;
-/// How long a connection may take from its accept to the end of its answer.
+/// The timeout of a connection, from its accept to the end of its answer.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Serves the metrics on `listener` for as long as it is polled; `gauges` is called for each answer. Counting starts
@@ -54,8 +54,8 @@
     let served = http.serve_connection(TokioIo::new(Socket::new(stream)), service);
     match tokio::time::timeout(CONNECTION_TIMEOUT, served).await {
         Ok(Ok(())) => {}
-        Ok(Err(error)) => tracing::debug!(%error, "connection of a metrics reader failed"),
-        Err(_) => tracing::debug!("a metrics reader took too long"),
+        Ok(Err(error)) => tracing::debug!(%error, "metrics connection failed"),
+        Err(_) => tracing::debug!("metrics connection timed out"),
     }
 }
 
--- a/src/telemetry/metrics/mod.rs
+++ b/src/telemetry/metrics/mod.rs
@@ -1,6 +1,6 @@
 //! The metrics of this process: counters by reason, a histogram and gauges.
 //!
-//! Nothing is counted until [`serve`] offers the metrics to readers. Names, help texts and label values are an
+//! Nothing is counted until [`serve`] serves the metrics. Names, help texts and label values are an
 //! interface: dashboards and alerts depend on them.
 
 mod endpoint;
@@ -19,15 +19,15 @@
 use std::sync::LazyLock;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The upper bound of the first bucket of request durations, in seconds; each next bound is twice as large.
-const FIRST_BUCKET_S: f64 = 0.001;
+/// The upper bound of the first bucket of request durations, in seconds; each further bound is twice the one before.
+const FIRST_BUCKET_BOUND_S: f64 = 0.001;
 /// The number of buckets of request durations.
-const BUCKETS: u16 = 15;
+const BUCKET_COUNT: u16 = 15;
 
 /// Counters by reason.
 type Counters<T> = Family<[(&'static str, T); 1], Counter>;
 
-/// Something that a counter counts.
+/// An event that a counter counts.
 #[derive(Clone, Copy, Debug)]
 pub enum CountedEvent {
     /// A client's connection was closed.
@@ -48,7 +48,7 @@
     ViolationDetected(Invariant),
 }
 
-/// What the gauges show, as it is when the metrics are read.
+/// The values of the gauges at the time when the metrics are read.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
     /// Open connections from clients.
@@ -77,7 +77,7 @@
 }
 
 static METRICS: LazyLock<Metrics> = LazyLock::new(Metrics::new);
-/// Whether the metrics are served; nothing is counted for metrics that nobody can read.
+/// Whether the metrics are served; events are counted only then.
 static IS_SERVED: AtomicBool = AtomicBool::new(false);
 
 impl Metrics {
@@ -91,7 +91,7 @@
             list_calls: Counters::default(),
             prevented: Counters::default(),
             violations: Counters::default(),
-            wait_seconds: Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKETS)),
+            wait_seconds: Histogram::new(exponential_buckets(FIRST_BUCKET_BOUND_S, 2.0, BUCKET_COUNT)),
             client_connections: Gauge::default(),
             upstream_connections: Gauge::default(),
             open_requests: Gauge::default(),
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,7 +1,8 @@
-//! Logs and metrics: structured log lines with typed reasons, and metrics on a listener of their own.
+//! Logs and metrics: structured log lines with typed reasons, and metrics on a separate listener.
 //!
 //! Both are off by default, except for violations of the invariants of [`crate::guard`], which are always logged.
-//! `LINKHATCH_LOG` (`error`, `warn`, `info`, `debug` or `trace`) writes JSON lines from that level on to standard error.
+//! `LINKHATCH_LOG` (`error`, `warn`, `info`, `debug` or `trace`) writes JSON lines of that level and above to standard
+//! error.
 //! `LINKHATCH_METRICS` (an address) serves `GET /metrics` in the OpenMetrics text format.
 
 pub mod metrics;
@@ -23,7 +24,7 @@
 /// The log target of violations, which are logged at every level.
 pub const VIOLATION_TARGET: &str = "violation";
 
-/// The log can't be started.
+/// Why the log can't be started.
 #[derive(Debug, Error)]
 pub enum LogError {
     /// The environment variable does not name a level.
@@ -31,10 +32,10 @@
     UnknownLevel(String),
 }
 
-/// Starts the log at the level that the environment names.
+/// Starts the log at the level in the environment variable [`LOG_VARIABLE`].
 ///
 /// # Errors
-/// [`LogError::UnknownLevel`] if the environment names something else.
+/// [`LogError::UnknownLevel`] if the variable does not name a level.
 pub fn start_log() -> Result<(), LogError> {
     let level = match std::env::var(LOG_VARIABLE) {
         Err(_) => LevelFilter::OFF,
@@ -45,7 +46,7 @@
     };
     let filter = Targets::new().with_default(level).with_target(VIOLATION_TARGET, LevelFilter::ERROR);
     let lines = tracing_subscriber::fmt::layer().json().flatten_event(true).with_writer(std::io::stderr);
-    // Where another log has been started, as by a test, that one stays.
+    // A log that was started before, for example by a test, is kept.
     let _ = tracing_subscriber::registry().with(lines.with_filter(filter)).try_init();
     Ok(())
 }
--- a/src/telemetry/reason.rs
+++ b/src/telemetry/reason.rs
@@ -1,8 +1,8 @@
-//! Why a connection was closed, a request rejected, an attempt sent or dropped: one type each, so that logs and metrics
-//! name the same reasons.
+//! The reasons for which connections are closed, requests rejected, and attempts sent or dropped: one type each, so
+//! that logs and metrics name the same reasons.
 //!
-//! The label of a value is what both show. Dashboards and alerts depend on the labels, so they stay when a Rust name
-//! changes.
+//! Logs and metrics show the label of a value. Dashboards and alerts depend on the labels, so these stay unchanged when
+//! a Rust name changes.
 
 use prometheus_client::encoding::{EncodeLabelValue, LabelValueEncoder};
 use std::fmt;
@@ -33,11 +33,11 @@
 /// Why a client's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CloseReason {
-    /// The client closed it or asked for that, or sent something other than HTTP.
+    /// The client closed it, asked for it to be closed, or sent something other than HTTP.
     ClientClosed,
     /// The process shuts down.
     ShuttingDown,
-    /// It makes room for another connection.
+    /// It was closed to make room for another connection.
     Evicted,
     /// No request arrived for too long.
     IdleTimeout,
@@ -53,7 +53,7 @@
 /// Why a request is rejected: it was not executed, and the client may retry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Rejection {
-    /// Too little of its time is left.
+    /// Too little time remains before its deadline.
     InsufficientTime,
     /// More attempts are in flight than the backends seem able to answer.
     Overload,
@@ -76,7 +76,7 @@
 /// Why an attempt that was decided on is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DropReason {
-    /// It would break an [`Invariant`].
+    /// It would violate an [`Invariant`].
     InvariantAtRisk,
     /// No connection was established in time, or the maximum number of connections is open.
     NoConnection,
@@ -104,17 +104,17 @@
 /// How a poll of discovery ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PollOutcome {
-    /// With an endpoint list, or with the changes of one.
+    /// It was answered with an endpoint list, or with changes to one.
     Answered,
-    /// Without an answer, or with a malformed one.
+    /// It was not answered, or the answer was malformed.
     Failed,
-    /// It was cancelled, as discovery has moved.
+    /// It was cancelled because discovery has moved.
     Moved,
 }
 
 labels!(PollOutcome { Answered => "Answered", Failed => "Failed", Moved => "Moved" });
 
-/// What [`crate::guard`] checks at the last moment before the proxy acts.
+/// The invariants that [`crate::guard`] checks immediately before the proxy acts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Invariant {
     /// Nothing is sent to a backend that is draining or removed once the grace period is over.
@@ -125,9 +125,9 @@
     Repeat,
     /// Nothing is sent for a client that has disconnected.
     ClientGone,
-    /// Nothing is sent for a request that has its answer, or whose deadline has passed.
+    /// Nothing is sent for a request that has its final answer, or whose deadline has passed.
     Answered,
-    /// A backend is announced no more time than the client has left.
+    /// The time announced to a backend does not exceed the client's remaining time.
     Deadline,
     /// No connection is closed while a request on it is in flight.
     Close,
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,5 +1,5 @@
-//! The command line as operators and their scripts see it, against the records in `tests/golden/command_line/`: help,
-//! output as text and as JSON, error texts and exit codes.
+//! Compares the command line's output with the records in `tests/golden/command_line/`: help, output as text and as
+//! JSON, error texts and exit codes. Operators and their scripts depend on them.
 
 #[path = "golden/compare.rs"]
 mod compare;
@@ -16,14 +16,14 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linkhatch-proxy");
-/// Longest life of a test's processes.
+/// The maximum lifetime of a test's processes.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest wait for the list service to come to a state.
+/// The timeout of waiting for a state of the list service.
 const STATE_TIMEOUT: Duration = Duration::from_secs(10);
-/// A session's TTL that does not run out during a test.
+/// A session TTL that does not expire during a test.
 const LONG_TTL_MS: u64 = 60_000;
 
-/// One run of the program, not yet ended.
+/// A started run of the program.
 struct Run {
     arguments: Vec<String>,
     child: Child,
@@ -34,19 +34,19 @@
     command.args(arguments).env_remove("RELAY_DISCOVERY").env_remove("RELAY_CONFIG");
     command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let arguments = arguments.iter().map(ToString::to_string).collect();
-    Run { arguments, child: command.spawn().expect("the program runs") }
+    Run { arguments, child: command.spawn().expect("the program starts") }
 }
 
 impl Run {
-    /// What the run was, printed and came to.
+    /// Waits for the end of the run; returns its command line, output and exit code.
     fn transcript(self) -> String {
-        let output = self.child.wait_with_output().expect("it ends");
+        let output = self.child.wait_with_output().expect("the program ends");
         let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("UTF-8");
         format!(
             "$ {}\n{}--- standard error, exit code {}\n{}\n",
             self.arguments.join(" "),
             text(&output.stdout),
-            output.status.code().expect("it ended by itself"),
+            output.status.code().expect("the program was not ended by a signal"),
             text(&output.stderr)
         )
     }
@@ -64,10 +64,10 @@
     }
 }
 
-/// Replaces what differs from run to run: the node's address, the scratch folder and times.
-fn normalized(text: &str, replaced: &[(&str, &str)]) -> String {
+/// Replaces the texts that differ between runs: the node's address, the scratch folder and times.
+fn normalized(text: &str, replacements: &[(&str, &str)]) -> String {
     let mut text = text.to_string();
-    for (from, to) in replaced {
+    for (from, to) in replacements {
         text = text.replace(from, to);
     }
     let mut out = String::new();
@@ -80,8 +80,8 @@
             }
         }
         if line.contains(" attached ") || line.contains(" behind ") {
-            let kept = line.trim_end_matches(|c: char| c.is_ascii_digit()).trim_end();
-            line = format!("{kept} #");
+            let trimmed = line.trim_end_matches(|c: char| c.is_ascii_digit()).trim_end();
+            line = format!("{trimmed} #");
         }
         writeln!(out, "{line}").expect("a string");
     }
@@ -92,14 +92,14 @@
     Fleet::new(Path::new(PROGRAM), Path::new(env!("CARGO_TARGET_TMPDIR")), TEST_TIMEOUT)
 }
 
-/// Starts a node of the list service that leads by itself.
+/// Starts a list service of one node, and waits until it is the leader.
 fn node(fleet: &mut Fleet) -> Process {
     let node = fleet.registry("listen = \"127.0.0.1:0\"\n").expect("the list service starts");
     wait_for(node.address(), "/v1/status", |status| !status["leader"].is_null());
     node
 }
 
-/// A folder of one test's own, removed with it.
+/// A scratch folder of one test; dropping it removes the folder.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -123,7 +123,7 @@
     }
 }
 
-/// A document in the form that `get` prints and `put` takes.
+/// A document in the form that `get` prints and `put` accepts.
 fn document(max_attempts: u32, worth: f64) -> String {
     json!({"document": {
         "classes": [{"name": "c", "effect": "free", "on-time": 1.0, "hard-limit": 1.0, "worth": worth}],
@@ -139,23 +139,23 @@
     call(at, "POST", path, body).expect("the node answers")
 }
 
-/// Waits until `wanted` holds of what the node answers at `path`.
-fn wait_for(at: SocketAddr, path: &str, wanted: impl Fn(&Value) -> bool) -> Value {
+/// Waits until the node's answer at `path` satisfies `condition`; returns that answer.
+fn wait_for(at: SocketAddr, path: &str, condition: impl Fn(&Value) -> bool) -> Value {
     let deadline = Instant::now() + STATE_TIMEOUT;
     loop {
         let (_, answer) = call(at, "GET", path, &Value::Null).expect("the node answers");
-        if wanted(&answer) {
+        if condition(&answer) {
             return answer;
         }
-        assert!(Instant::now() < deadline, "{path} stays {answer}");
+        assert!(Instant::now() < deadline, "timed out; last answer at {path}: {answer}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Opens a session; its number.
-fn open_session(at: SocketAddr, name: &str, holds: u64) -> u64 {
+/// Opens a session and returns its number.
+fn open_session(at: SocketAddr, name: &str, held_version: u64) -> u64 {
     let (status, answer) =
-        post(at, "/v1/session/open", &json!({"name": name, "ttlMs": LONG_TTL_MS, "holds": holds}));
+        post(at, "/v1/session/open", &json!({"name": name, "ttlMs": LONG_TTL_MS, "holds": held_version}));
     assert_eq!(status, 200, "{answer}");
     answer["session"].as_u64().expect("a session")
 }
@@ -187,10 +187,10 @@
 }
 
 #[test]
-fn arguments_that_are_wrong_end_with_the_recorded_text_and_code() {
+fn invalid_arguments_end_with_the_recorded_text_and_code() {
     let scratch = Scratch::new("arguments");
-    let shown: Value = serde_json::from_str(&document(2, 1.0)).expect("JSON");
-    let bare = scratch.write("bare.json", &shown["document"].to_string());
+    let parsed: Value = serde_json::from_str(&document(2, 1.0)).expect("JSON");
+    let bare = scratch.write("bare.json", &parsed["document"].to_string());
     let wrong = scratch.write("wrong.json", &document(0, 1.0));
     let broken = scratch.write("broken.json", "{\"document\": ");
     let missing = scratch.0.join("missing.json").display().to_string();
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_first_document_is_printed_from_a_configuration_as_recorded() {
+fn the_initial_document_of_a_configuration_is_printed_as_recorded() {
     let scratch = Scratch::new("init");
     let mut out = run(&["settings", "init", "deploy/sample.json"]);
     let sample = include_str!("../deploy/sample.json");
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn settings_are_published_read_and_rolled_back_as_recorded() {
+fn publishing_reading_and_rolling_back_settings_print_the_recorded_text() {
     let (scratch, mut fleet) = (Scratch::new("settings"), fleet());
     let node = node(&mut fleet);
     let address = node.address().to_string();
@@ -286,20 +286,20 @@
     step(&["settings", "history", "--json"]);
     step(&["fleet", "status"]);
     step(&["fleet", "status", "--json"]);
-    // What `get` printed, edited, is taken back over the version that it names.
+    // The edited output of `get` is accepted as the successor of the version that it names.
     let mut edited = head(node.address());
     edited["document"]["max-attempts"] = json!(5);
     let edited = scratch.write("edited.json", &edited.to_string());
     step(&["settings", "put", &edited, "--by", "kim"]);
     step(&["settings", "put", &edited, "--by", "kim"]);
     let folder = scratch.0.display().to_string();
-    let replaced = [(address.as_str(), "NODE"), (folder.as_str(), "DIR")];
-    assert_golden("command_line/settings.txt", &normalized(&out, &replaced));
+    let replacements = [(address.as_str(), "NODE"), (folder.as_str(), "DIR")];
+    assert_golden("command_line/settings.txt", &normalized(&out, &replacements));
     fleet.check_deadline();
 }
 
 #[test]
-fn what_becomes_of_a_version_and_how_the_fleet_stands_are_told_as_recorded() {
+fn version_statuses_and_the_fleet_status_are_printed_as_recorded() {
     let (scratch, mut fleet) = (Scratch::new("fleet"), fleet());
     let node = node(&mut fleet);
     let (at, address) = (node.address(), node.address().to_string());
@@ -308,78 +308,80 @@
     let with_node = |arguments: &[&str]| -> Vec<String> {
         arguments.iter().copied().chain(["--at", &address]).map(String::from).collect()
     };
-    let begin = |arguments: &[&str]| {
+    let start_with_node = |arguments: &[&str]| {
         let all = with_node(arguments);
         start(&all.iter().map(String::as_str).collect::<Vec<_>>())
     };
-    let fate = |version: &str| {
+    let status_of = |version: &str| {
         call(at, "GET", &format!("/v1/settings?version={version}"), &Value::Null).expect("answered").1["fate"]
             .clone()
     };
     let head =
         || call(at, "GET", "/v1/settings", &Value::Null).expect("answered").1["head"]["version"].to_string();
-    let wait_for_head = |known: &str| {
-        let known: Option<u64> = known.parse().ok();
-        let answer = wait_for(at, "/v1/settings", |s| s["head"]["version"].as_u64() != known);
+    let wait_for_new_head = |old_head: &str| {
+        let old_head: Option<u64> = old_head.parse().ok();
+        let answer = wait_for(at, "/v1/settings", |s| s["head"]["version"].as_u64() != old_head);
         answer["head"]["version"].to_string()
     };
-    out += &begin(&["settings", "put", &file(1.0), "--by", "kim", "--parent", "0"]).transcript();
+    out += &start_with_node(&["settings", "put", &file(1.0), "--by", "kim", "--parent", "0"]).transcript();
     let version_1: u64 = head().parse().expect("a version");
     let session = open_session(at, "proxy-a", version_1);
-    // The membership follows each change before the next, so that revisions are the same in each run.
-    let members = |slots: &str| drop(wait_for(at, "/v1/fleet", |fleet| fleet["members"]["slots"] == slots));
-    members("0");
-    let leaving = open_session(at, "proxy-b", version_1);
-    members("0-1");
-    assert_eq!(post(at, "/v1/session/close", &json!({"session": leaving})).0, 200);
-    members("0");
-    out += &begin(&["fleet", "status"]).transcript();
+    // Each change reaches the membership before the next one is made, so that revisions are the same in each run.
+    let wait_for_members =
+        |slots: &str| drop(wait_for(at, "/v1/fleet", |fleet| fleet["members"]["slots"] == slots));
+    wait_for_members("0");
+    let closed_session = open_session(at, "proxy-b", version_1);
+    wait_for_members("0-1");
+    assert_eq!(post(at, "/v1/session/close", &json!({"session": closed_session})).0, 200);
+    wait_for_members("0");
+    out += &start_with_node(&["fleet", "status"]).transcript();
 
-    // The session acknowledges nothing: the offer stays, and further versions wait.
+    // The session acknowledges nothing, so the version stays offered and further versions wait.
     let version_1 = version_1.to_string();
-    let put = |worth: f64, parent: &str, wait: &str| {
-        begin(&["settings", "put", &file(worth), "--by", "kim", "--parent", parent, "--wait", wait])
+    let start_put = |worth: f64, parent: &str, wait: &str| {
+        start_with_node(&["settings", "put", &file(worth), "--by", "kim", "--parent", parent, "--wait", wait])
     };
-    out += &put(2.0, &version_1, "0").transcript();
+    out += &start_put(2.0, &version_1, "0").transcript();
     let offered = head();
-    assert_eq!(fate(&offered), "offered");
-    out += &put(3.0, &offered, "0.3").transcript();
+    assert_eq!(status_of(&offered), "offered");
+    out += &start_put(3.0, &offered, "0.3").transcript();
     let waiting = head();
-    let superseded = put(4.0, &waiting, "20");
-    let superseded_version = wait_for_head(&waiting);
-    out += &put(5.0, &superseded_version, "0").transcript();
+    let superseded = start_put(4.0, &waiting, "20");
+    let superseded_version = wait_for_new_head(&waiting);
+    out += &start_put(5.0, &superseded_version, "0").transcript();
     out += &superseded.transcript();
-    out += &begin(&["settings", "history"]).transcript();
-    out += &begin(&["fleet", "status"]).transcript();
-    out += &begin(&["fleet", "status", "--json"]).transcript();
+    out += &start_with_node(&["settings", "history"]).transcript();
+    out += &start_with_node(&["fleet", "status"]).transcript();
+    out += &start_with_node(&["fleet", "status", "--json"]).transcript();
 
-    // Refused by the proxy, the offer is withdrawn and the one that waited is offered.
-    let refuse = |version: &str| {
+    // The proxy rejects the offered version, so it is withdrawn and the waiting version is offered.
+    let reject = |version: &str| {
         let version: u64 = version.parse().expect("a version");
         let body = json!({"session": session, "name": "proxy-a", "version": version,
                           "why": "classes.c: is not known"});
         assert_eq!(post(at, "/v1/session/refuse", &body).0, 200);
     };
     let last = head();
-    refuse(&offered);
-    assert_eq!(fate(&offered), "withdrawn");
-    assert_eq!(fate(&last), "offered");
-    let withdrawn = put(6.0, &last, "20");
-    let withdrawn_version = wait_for_head(&last);
-    let holds: u64 = last.parse().expect("a version");
-    let renewal = json!({"session": session, "holds": holds, "inForce": holds, "members": 4, "list": 0});
+    reject(&offered);
+    assert_eq!(status_of(&offered), "withdrawn");
+    assert_eq!(status_of(&last), "offered");
+    let withdrawn = start_put(6.0, &last, "20");
+    let withdrawn_version = wait_for_new_head(&last);
+    let held_version: u64 = last.parse().expect("a version");
+    let renewal =
+        json!({"session": session, "holds": held_version, "inForce": held_version, "members": 4, "list": 0});
     assert_eq!(post(at, "/v1/session/renew", &renewal).0, 200);
-    assert_eq!(fate(&last), "in force");
-    refuse(&withdrawn_version);
+    assert_eq!(status_of(&last), "in force");
+    reject(&withdrawn_version);
     out += &withdrawn.transcript();
-    out += &begin(&["settings", "get", "--version", &withdrawn_version]).transcript();
-    out += &begin(&["settings", "get", "--version", &last]).transcript();
-    out += &begin(&["fleet", "status"]).transcript();
-    out += &begin(&["fleet", "status", "--json"]).transcript();
-    out += &begin(&["settings", "history", "--json"]).transcript();
+    out += &start_with_node(&["settings", "get", "--version", &withdrawn_version]).transcript();
+    out += &start_with_node(&["settings", "get", "--version", &last]).transcript();
+    out += &start_with_node(&["fleet", "status"]).transcript();
+    out += &start_with_node(&["fleet", "status", "--json"]).transcript();
+    out += &start_with_node(&["settings", "history", "--json"]).transcript();
     let folder = scratch.0.display().to_string();
-    let replaced = [(address.as_str(), "NODE"), (folder.as_str(), "DIR")];
-    assert_golden("command_line/fleet.txt", &normalized(&out, &replaced));
+    let replacements = [(address.as_str(), "NODE"), (folder.as_str(), "DIR")];
+    assert_golden("command_line/fleet.txt", &normalized(&out, &replacements));
     fleet.check_deadline();
 }
 
@@ -391,13 +393,13 @@
         for stream in listener.incoming() {
             let Ok(mut stream) = stream else { return };
             let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
-            let mut read = Vec::new();
-            let mut piece = [0; 4096];
-            // The calls of these tests are one head, and a body that ends with a brace.
-            while let Ok(count) = stream.read(&mut piece) {
-                read.extend_from_slice(&piece[..count]);
-                let whole = read.starts_with(b"GET") && read.ends_with(b"\r\n\r\n");
-                if count == 0 || whole || read.ends_with(b"}") {
+            let mut received = Vec::new();
+            let mut chunk = [0; 4096];
+            // A call of these tests is one head, followed in a `POST` by a body that ends with a brace.
+            while let Ok(count) = stream.read(&mut chunk) {
+                received.extend_from_slice(&chunk[..count]);
+                let is_complete_get = received.starts_with(b"GET") && received.ends_with(b"\r\n\r\n");
+                if count == 0 || is_complete_get || received.ends_with(b"}") {
                     break;
                 }
             }
@@ -408,7 +410,7 @@
 }
 
 #[test]
-fn answers_that_leave_the_outcome_open_end_with_the_recorded_text_and_code() {
+fn answers_without_a_known_outcome_end_with_the_recorded_text_and_code() {
     let scratch = Scratch::new("unknown");
     let file = scratch.write("document.json", &document(2, 1.0));
     let answers = [
@@ -425,15 +427,15 @@
     let mut out = String::new();
     for (name, answer) in answers {
         let address = fake_node(answer).to_string();
-        let mut told = run(&["settings", "get", "--at", &address]);
-        told += &run(&["settings", "history", "--json", "--at", &address]);
-        told += &run(&["settings", "put", &file, "--by", "kim", "--parent", "0", "--at", &address]);
-        told += &run(&["fleet", "status", "--at", &address]);
-        told += &run(&["fleet", "status", "--json", "--at", &address]);
-        told += &run(&["settings", "history", "--at", &address]);
-        told += &run(&["settings", "diff", "1", "2", "--at", &address]);
-        told += &run(&["settings", "rollback", "1", "--by", "kim", "--at", &address]);
-        writeln!(out, "=== {name}\n{}", told.replace(&address, "NODE")).expect("a string");
+        let mut transcripts = run(&["settings", "get", "--at", &address]);
+        transcripts += &run(&["settings", "history", "--json", "--at", &address]);
+        transcripts += &run(&["settings", "put", &file, "--by", "kim", "--parent", "0", "--at", &address]);
+        transcripts += &run(&["fleet", "status", "--at", &address]);
+        transcripts += &run(&["fleet", "status", "--json", "--at", &address]);
+        transcripts += &run(&["settings", "history", "--at", &address]);
+        transcripts += &run(&["settings", "diff", "1", "2", "--at", &address]);
+        transcripts += &run(&["settings", "rollback", "1", "--by", "kim", "--at", &address]);
+        writeln!(out, "=== {name}\n{}", transcripts.replace(&address, "NODE")).expect("a string");
     }
     let folder = scratch.0.display().to_string();
     assert_golden("command_line/open_outcomes.txt", &normalized(&out, &[(&folder, "DIR")]));
--- a/tests/golden/compare.rs
+++ b/tests/golden/compare.rs
@@ -1,11 +1,11 @@
-//! Comparison of a test's output with the text recorded for it in `tests/golden/`.
+//! Compares a test's output with the text recorded for it in `tests/golden/`.
 //!
-//! A changed record is a changed interface: it is recorded anew (`RECORD_GOLDEN=1`) only where that is intended, and
-//! reviewed with the change.
+//! A changed record means a changed interface: record it again (`RECORD_GOLDEN=1`) only if the change is intended, and
+//! review it with the change.
 
 use std::path::Path;
 
-/// Asserts that `actual` is what `tests/golden/{name}` holds.
+/// Asserts that `actual` equals the content of `tests/golden/{name}`.
 pub fn assert_golden(name: &str, actual: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
     if std::env::var_os("RECORD_GOLDEN").is_some() {
--- a/tests/guard.rs
+++ b/tests/guard.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn each_limit_of_an_attempt_is_exact() {
+fn each_time_limit_of_an_attempt_is_exact() {
     let history = AttemptHistory::new(Idempotency::Idempotent);
     let plain = attempt(0, &history);
     for (case, invariant, before, at) in [
@@ -34,20 +34,20 @@
         let guard = Guard::new(false);
         assert!(guard.admit(before, case).is_ok(), "{invariant:?}");
         assert_eq!(guard.admit(at, case).err(), Some(invariant));
-        assert_eq!(counts(|p| guard.prevented(p)), [(invariant, 1)]);
+        assert_eq!(counts(|kind| guard.prevented(kind)), [(invariant, 1)]);
     }
     let guard = Guard::new(false);
     let disconnected = AttemptState { client_disconnected: true, ..plain };
     assert_eq!(guard.admit(1.0, disconnected).err(), Some(Invariant::ClientGone));
     let answered = AttemptState { request_done: true, ..plain };
     assert_eq!(guard.admit(1.0, answered).err(), Some(Invariant::Answered));
-    assert_eq!(counts(|p| guard.violated(p)), []);
+    assert_eq!(counts(|kind| guard.violated(kind)), []);
 }
 
 #[test]
-fn non_idempotent_requests_are_retried_only_if_they_never_ran() {
+fn non_idempotent_requests_are_retried_only_if_they_were_not_executed() {
     let guard = Guard::new(false);
-    for (outcome, again) in [
+    for (outcome, may_retry) in [
         (Outcome::Rejected, true),
         (Outcome::ConnectFailed, true),
         (Outcome::NotSent, true),
@@ -58,10 +58,14 @@
         (Outcome::Cancelled, false),
     ] {
         let history = AttemptHistory::new(Idempotency::NonIdempotent);
-        let _ = guard.admit(0.0, attempt(0, &history)).expect("the first one");
-        assert_eq!(guard.admit(0.1, attempt(1, &history)).err(), Some(Invariant::Repeat), "one is out");
+        let _ = guard.admit(0.0, attempt(0, &history)).expect("the first attempt");
+        assert_eq!(
+            guard.admit(0.1, attempt(1, &history)).err(),
+            Some(Invariant::Repeat),
+            "the first attempt is in flight"
+        );
         history.attempt_ended(0, outcome);
-        assert_eq!(guard.admit(0.2, attempt(1, &history)).is_ok(), again, "{outcome:?}");
+        assert_eq!(guard.admit(0.2, attempt(1, &history)).is_ok(), may_retry, "{outcome:?}");
     }
 }
 
@@ -69,28 +73,28 @@
 fn keyed_requests_are_retried_within_the_window_of_the_first_possible_execution() {
     let guard = Guard::new(false);
     let history = AttemptHistory::new(KEYED);
-    let _ = guard.admit(1.0, attempt(0, &history)).expect("the first one");
+    let _ = guard.admit(1.0, attempt(0, &history)).expect("the first attempt");
     let _ = guard.admit(5.9, attempt(1, &history)).expect("within the window");
     assert_eq!(guard.admit(6.0, attempt(2, &history)).err(), Some(Invariant::Window));
     history.attempt_ended(0, Outcome::Rejected);
-    let _ = guard.admit(6.0, attempt(2, &history)).expect("the first one never ran");
+    let _ = guard.admit(6.0, attempt(2, &history)).expect("the first attempt was not executed");
 }
 
 #[test]
-fn an_unwritten_attempt_counts_as_never_executed() {
+fn an_attempt_that_was_not_written_counts_as_not_executed() {
     let guard = Guard::new(false);
     let history = AttemptHistory::new(Idempotency::NonIdempotent);
-    let permit = guard.admit(0.0, attempt(0, &history)).expect("the first one");
-    guard.not_written(&history, &permit);
-    let _ = guard.admit(0.1, attempt(0, &history)).expect("on another connection");
+    let permit = guard.admit(0.0, attempt(0, &history)).expect("the first attempt");
+    guard.attempt_not_written(&history, &permit);
+    let _ = guard.admit(0.1, attempt(0, &history)).expect("sent on another connection");
 }
 
-/// The violations of an attempt that was admitted at 0.9 s and written at `written`.
-fn violations_of(case: AttemptState<'_>, written: f64) -> Vec<(Invariant, u64)> {
+/// The violations of an attempt that was admitted at 0.9 s and written at `written_at`.
+fn violations_of(case: AttemptState<'_>, written_at: f64) -> Vec<(Invariant, u64)> {
     let guard = Guard::new(false);
     let permit = guard.admit(0.9, case).expect("in time");
-    guard.written(written, &permit);
-    counts(|p| guard.violated(p))
+    guard.attempt_written(written_at, &permit);
+    counts(|kind| guard.violated(kind))
 }
 
 #[test]
@@ -109,13 +113,13 @@
 }
 
 #[test]
-fn a_process_that_owes_answers_may_not_exit_while_clients_wait() {
+fn a_process_with_pending_answers_may_not_exit_while_clients_wait() {
     let guard = Guard::new(false);
     assert!(guard.may_exit(false, true) && guard.may_exit(true, false));
     assert!(!guard.may_exit(true, true));
-    assert_eq!(counts(|p| guard.prevented(p)), [(Invariant::Exit, 1)]);
+    assert_eq!(counts(|kind| guard.prevented(kind)), [(Invariant::Exit, 1)]);
     guard.process_exits(true, true);
     guard.connection_closed_in_flight(true);
     guard.connection_closed_in_flight(false);
-    assert_eq!(counts(|p| guard.violated(p)), [(Invariant::Close, 1), (Invariant::Exit, 1)]);
+    assert_eq!(counts(|kind| guard.violated(kind)), [(Invariant::Close, 1), (Invariant::Exit, 1)]);
 }
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
-const EVERY_COUNT: [CountedEvent; 40] = [
+const COUNTED_EVENTS: [CountedEvent; 40] = [
     CountedEvent::ConnectionClosed(CloseReason::ClientClosed),
     CountedEvent::ConnectionClosed(CloseReason::ShuttingDown),
     CountedEvent::ConnectionClosed(CloseReason::Evicted),
@@ -55,7 +55,7 @@
     CountedEvent::ViolationDetected(Invariant::Exit),
 ];
 
-/// One call of the metrics' listener: the answer's head and body.
+/// Calls the listener of the metrics; returns the head and the body of the answer.
 async fn get(address: SocketAddr, path: &str) -> (String, String) {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let request = format!("GET {path} HTTP/1.1\r\nHost: m\r\nConnection: close\r\n\r\n");
@@ -66,7 +66,7 @@
     (head.to_string(), body.to_string())
 }
 
-/// The lines in order, since that of the labels of one metric is not defined.
+/// The lines in sorted order, as the order of the label values of one metric is not defined.
 fn sorted(text: &str) -> Vec<&str> {
     let mut lines: Vec<&str> = text.lines().collect();
     lines.sort_unstable();
@@ -82,9 +82,9 @@
             let address = listener.local_addr().unwrap();
             let gauges = || Gauges { client_connections: 3, upstream_connections: 2, open_requests: 1 };
             tokio::task::spawn_local(metrics::serve(listener, gauges));
-            // Counting is on once the listener is served.
+            // Events are counted once the listener is served.
             let other = get(address, "/other").await;
-            EVERY_COUNT.into_iter().for_each(metrics::count);
+            COUNTED_EVENTS.into_iter().for_each(metrics::count);
             metrics::observe_wait(0.003);
             metrics::set_list_revision(7);
             (other, get(address, "/metrics").await)
--- a/tests/metrics_readers.rs
+++ b/tests/metrics_readers.rs
@@ -1,5 +1,5 @@
-//! Peers that connect to the listener of the metrics and send nothing: they must neither hold descriptors without limit
-//! nor keep readers out for good.
+//! Peers that connect to the listener of the metrics and send nothing: they must neither occupy an unlimited number of
+//! descriptors nor block readers permanently.
 //!
 //! Descriptors are counted for the whole process, so this is the only test of its file.
 
@@ -10,19 +10,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
-/// Idle peers.
+/// The number of idle peers.
 const IDLE_PEERS: usize = 100;
-/// The most descriptors that the listener's connections may take of those reserved in a proxy.
-const MAX_READERS: usize = 8;
-/// How long all idle peers together may keep a reader waiting.
-const MAX_WAIT: Duration = Duration::from_secs(30);
+/// The maximum number of a proxy's reserved descriptors that the listener's connections may use.
+const MAX_USED_DESCRIPTORS: usize = 8;
+/// The maximum time for which all idle peers together may delay a reader.
+const MAX_READER_DELAY: Duration = Duration::from_secs(30);
 
-/// The descriptors that this process holds.
+/// The number of open descriptors of this process.
 fn open_descriptors() -> usize {
     std::fs::read_dir("/proc/self/fd").unwrap().count()
 }
 
-/// One call of the metrics' listener.
+/// Reads the metrics from the listener, and returns the answer.
 async fn read_metrics(address: SocketAddr) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(b"GET /metrics HTTP/1.1\r\nHost: m\r\nConnection: close\r\n\r\n").await.unwrap();
@@ -32,9 +32,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn idle_peers_hold_few_descriptors_and_keep_no_reader_out() {
+async fn idle_peers_use_few_descriptors_and_do_not_block_a_reader() {
     let local = LocalSet::new();
-    let (taken, answer) = local
+    let (used, answer) = local
         .run_until(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let address = listener.local_addr().unwrap();
@@ -44,12 +44,12 @@
             for _ in 0..IDLE_PEERS {
                 peers.push(TcpStream::connect(address).await.unwrap());
             }
-            tokio::time::sleep(Duration::from_millis(100)).await; // what may be accepted, is
-            let taken = open_descriptors() - before - peers.len();
-            (taken, tokio::time::timeout(MAX_WAIT, read_metrics(address)).await)
+            tokio::time::sleep(Duration::from_millis(100)).await; // the listener accepts all that it may
+            let used = open_descriptors() - before - peers.len();
+            (used, tokio::time::timeout(MAX_READER_DELAY, read_metrics(address)).await)
         })
         .await;
-    assert!(taken <= MAX_READERS, "idle peers hold {taken} descriptors of the proxy");
+    assert!(used <= MAX_USED_DESCRIPTORS, "idle peers use {used} descriptors of the proxy");
     let answer = answer.expect("the metrics are read in time");
     assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
 }
--- a/tests/telemetry.rs
+++ b/tests/telemetry.rs
@@ -1,4 +1,4 @@
-//! Golden checks of the log lines that only a fault brings about. Alerts and operators' tools depend on their fields.
+//! Golden checks of log lines that are written only after a fault. Alerts and operators' tools depend on their fields.
 
 use linkhatch_proxy::guard::{AttemptHistory, AttemptState, Guard};
 use linkhatch_proxy::proxy::clock::Clock;
@@ -13,18 +13,18 @@
 use std::time::Duration;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// A log that is kept in memory.
+/// A log in memory.
 #[derive(Clone, Default)]
 struct Log(Arc<Mutex<Vec<u8>>>);
 
 impl Log {
-    /// Runs `play` with this log, and returns its lines.
-    fn of(play: impl FnOnce()) -> Vec<Value> {
+    /// Runs `action` with a new log, and returns the lines of the log.
+    fn capture(action: impl FnOnce()) -> Vec<Value> {
         let log = Self::default();
         let lines =
             tracing_subscriber::fmt().json().flatten_event(true).with_max_level(tracing::Level::TRACE);
         let subscriber = lines.with_writer(log.clone()).finish();
-        tracing::subscriber::with_default(subscriber, play);
+        tracing::subscriber::with_default(subscriber, action);
         let text = log.0.lock().unwrap();
         text.split(|byte| *byte == b'\n').filter_map(|line| serde_json::from_slice(line).ok()).collect()
     }
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_violation_is_logged_with_its_invariant_and_its_lateness() {
-    let lines = Log::of(|| {
+    let lines = Log::capture(|| {
         let guard = Guard::new(false);
         let history = AttemptHistory::new(Idempotency::Idempotent);
         let attempt = AttemptState {
@@ -65,25 +65,25 @@
             request_done: false,
         };
         let permit = guard.admit(1.0, attempt).expect("admitted");
-        guard.written(2.0, &permit);
+        guard.attempt_written(2.0, &permit);
         guard.connection_closed_in_flight(false);
     });
-    let seen: Vec<_> = lines
+    let logged: Vec<_> = lines
         .iter()
         .map(|line| (&line["level"], &line["target"], &line["promise"], &line["late_by"]))
         .collect();
     let (level, target) = (Value::from("ERROR"), Value::from("violation"));
     let (deadline, close) = (Value::from("Deadline"), Value::from("Close"));
     let (late, on_time) = (Value::from(1.0), Value::from(0.0));
-    assert_eq!(seen, [(&level, &target, &deadline, &late), (&level, &target, &close, &on_time)]);
+    assert_eq!(logged, [(&level, &target, &deadline, &late), (&level, &target, &close, &on_time)]);
 }
 
 #[test]
 fn an_attempt_that_the_guard_prevents_is_logged_with_its_invariant() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let lines = Log::of(|| {
-        let payload = ForwardedRequest {
+    let lines = Log::capture(|| {
+        let request = ForwardedRequest {
             method: "GET".parse().unwrap(),
             uri: "/api".parse().unwrap(),
             headers: Default::default(),
@@ -96,15 +96,15 @@
             stamp: None,
         };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        let done = runtime.block_on(async {
+        let result = runtime.block_on(async {
             let timeout = Duration::from_secs(30);
             let endpoint = Rc::new(Endpoint::new(address, ConnectionBudget::new(4), timeout, timeout));
-            let bounds = AttemptLimits { deadline: 20.0, send_deadline: None, number: 2 };
-            send_attempt(endpoint, payload.into(), Clock::start(), bounds, Default::default()).await
+            let limits = AttemptLimits { deadline: 20.0, send_deadline: None, number: 2 };
+            send_attempt(endpoint, request.into(), Clock::start(), limits, Default::default()).await
         });
-        assert_eq!(done.outcome, Outcome::NotSent);
+        assert_eq!(result.outcome, Outcome::NotSent);
     });
-    let prevented = lines.iter().find(|line| line["promise"].is_string()).expect("a line");
+    let prevented = lines.iter().find(|line| line["promise"].is_string()).expect("a line with an invariant");
     assert_eq!((&prevented["number"], &prevented["promise"]), (&Value::from(2), &Value::from("Answered")));
     assert_eq!(prevented["level"], "DEBUG");
 }
