--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The simulator adapter: replies to transcripts, and invalid input.
+//! Tests of the simulator adapter: replies to transcripts, and invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -46,13 +46,13 @@
     let lines: Vec<&str> = replies.lines().collect();
     assert_eq!(lines[..2], ["END 1", "BY proxy-1"]);
     assert!(lines[2].starts_with("SLEEP 2.498"), "{}", lines[2]);
-    assert!(lines[3].starts_with("SLEEP 2."), "the first firing: {}", lines[3]);
+    assert!(lines[3].starts_with("SLEEP 2."), "the first retry timer: {}", lines[3]);
     assert_eq!(lines[4..], ["PLACE 00000000000000a1 0.498000 51", "END 2", "END 3", "END 4"]);
 }
 
 #[test]
 fn unusual_batches_are_valid() {
-    // Instances selected twice, a list number used twice, TEARDOWN and HELLO in one batch.
+    // An instance is selected twice, a list number is used twice, and TEARDOWN and HELLO are in one batch.
     let input = format!(
         "BATCH 1 1\n{}{}SELECT proxy-1\nROSTER 0 0\nUPDATE 2 all 0\nROSTER 0 1\nITEM k 0 52 1 here in_service 0\n\
          UPDATE 3 changes 0\nQUERY 00000000000000a1 0 - 0.5 - - look -\nSELECT proxy-2\n\
@@ -62,12 +62,12 @@
         start("proxy-2"),
     );
     let replies = replies(&input);
-    let of = |start: &str| replies.lines().filter(|l| l.starts_with(start)).collect::<Vec<_>>();
-    assert_eq!(of("BY"), ["BY proxy-1", "BY proxy-2", "BY proxy-1"]);
-    assert_eq!(of("PLACE 00000000000000a1"), ["PLACE 00000000000000a1 0.498000 52"]);
-    assert_eq!(of("PLACE 00000000000000a2"), ["PLACE 00000000000000a2 0.498000 51"]);
-    assert_eq!(of("REJECT"), ["REJECT 00000000000000a3 -"], "no time left");
-    assert_eq!(of("END"), ["END 1"]);
+    let lines_with = |start: &str| replies.lines().filter(|l| l.starts_with(start)).collect::<Vec<_>>();
+    assert_eq!(lines_with("BY"), ["BY proxy-1", "BY proxy-2", "BY proxy-1"]);
+    assert_eq!(lines_with("PLACE 00000000000000a1"), ["PLACE 00000000000000a1 0.498000 52"]);
+    assert_eq!(lines_with("PLACE 00000000000000a2"), ["PLACE 00000000000000a2 0.498000 51"]);
+    assert_eq!(lines_with("REJECT"), ["REJECT 00000000000000a3 -"], "no time left");
+    assert_eq!(lines_with("END"), ["END 1"]);
 }
 
 #[test]
@@ -77,18 +77,18 @@
         (0..9).for_each(|i| lines += &format!("QUERY 00000000000000a{i} 0 - 0.5 0 - look -\n"));
         lines
     };
-    let own = |text: String| {
+    let without_end = |text: String| {
         text.lines().filter(|l| !l.starts_with("END")).map(|l| l.to_string() + "\n").collect::<String>()
     };
-    let one = own(replies(&format!("BATCH 1 1\n{}GO\n", traffic("proxy-1"))));
-    let two = own(replies(&format!("BATCH 1 1\n{}GO\n", traffic("proxy-2"))));
-    let both = own(replies(&format!("BATCH 1 1\n{}{}GO\n", traffic("proxy-1"), traffic("proxy-2"))));
-    assert_eq!(both, one + &two);
+    let first = without_end(replies(&format!("BATCH 1 1\n{}GO\n", traffic("proxy-1"))));
+    let second = without_end(replies(&format!("BATCH 1 1\n{}GO\n", traffic("proxy-2"))));
+    let both = without_end(replies(&format!("BATCH 1 1\n{}{}GO\n", traffic("proxy-1"), traffic("proxy-2"))));
+    assert_eq!(both, first + &second);
 }
 
 #[test]
 fn invalid_input_is_reported_and_ends_the_process() {
-    let ready = start("proxy-1");
+    let started = start("proxy-1");
     let hello =
         |without: &str| HELLO.split(' ').filter(|p| !p.starts_with(without)).collect::<Vec<_>>().join(" ");
     let cases = [
@@ -105,14 +105,14 @@
         ("BATCH 1 1\nITEM k 0 51 1 here in_service -\n".into(), "expected a ROSTER"),
         ("BATCH 1 1\nROSTER 0 1\nITEM k 0 51 -1 here in_service -\n".into(), "not below 0"),
         (
-            format!("BATCH 1 1\n{ready}QUERY 00000000000000a1 0 - 0.5 0 - other -\n"),
+            format!("BATCH 1 1\n{started}QUERY 00000000000000a1 0 - 0.5 0 - other -\n"),
             "a class of the settings",
         ),
-        (format!("BATCH 1 1\n{ready}QUERY a1 0 - 0.5 0 - look -\n"), "16 hex digits"),
-        (format!("BATCH 1 1\n{ready}QUERY 00000000000000a1 0 - NaN 0 - look -\n"), "expected a number"),
-        (format!("BATCH 1 1\n{ready}RESULT 00000000000000a1 51 0 Q 0.1 1 -\n"), "one of S E F T C R X N"),
-        (format!("BATCH 1 1\n{ready}RESULT 00000000000000a1 51 0 S -0.1 1 -\n"), "not below 0"),
-        (format!("BATCH 1 1\n{ready}UPDATE 1 some 0\n"), "changes, all, remembered or refused"),
+        (format!("BATCH 1 1\n{started}QUERY a1 0 - 0.5 0 - look -\n"), "16 hex digits"),
+        (format!("BATCH 1 1\n{started}QUERY 00000000000000a1 0 - NaN 0 - look -\n"), "expected a number"),
+        (format!("BATCH 1 1\n{started}RESULT 00000000000000a1 51 0 Q 0.1 1 -\n"), "one of S E F T C R X N"),
+        (format!("BATCH 1 1\n{started}RESULT 00000000000000a1 51 0 S -0.1 1 -\n"), "not below 0"),
+        (format!("BATCH 1 1\n{started}UPDATE 1 some 0\n"), "changes, all, remembered or refused"),
         (
             format!("BATCH 1 1\nSELECT p\n{}\n", hello("caps.max-attempts")),
             "missing setting caps.max-attempts",
@@ -127,7 +127,7 @@
         assert!(!output.status.success(), "{input}");
         assert_eq!(message.lines().count(), 1, "{message}");
         assert!(message.contains(expected), "{message} lacks {expected}");
-        assert!(output.stdout.is_empty(), "no half-written reply: {input}");
+        assert!(output.stdout.is_empty(), "partial reply to {input}");
     }
     assert!(run("").status.success());
 }
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -24,8 +24,8 @@
 
 #[test]
 fn a_long_tail_of_response_times_is_no_overload() {
-    // The mean response time and the send rate explain the number in flight, most of which is due to one
-    // response in ten that takes nine times as long.
+    // The number in flight is that expected from the mean response time and the send rate. Most of it is due
+    // to one response in ten that takes nine times as long.
     let mut balancer = TestBalancer::new(Settings { tier: 0, ..idempotent_settings() }, &backends(20));
     let mut outstanding: Vec<(Time, u64, u32, Time)> = Vec::new();
     let mut rejections = 0;
@@ -46,16 +46,16 @@
     assert_eq!(rejections, 0);
 }
 
-/// Random arrivals, one per `gap` on average, at balancers that have just started, with a mean response time
-/// of 0.55 s. Returns how many of the requests `counted` were rejected, and their number.
-fn refused_in_calm(gap: Time, counted: std::ops::Range<u64>) -> (u64, u64) {
+/// Sends random arrivals, one per `gap` on average, to balancers that have just started, with a mean response
+/// time of 0.55 s. Returns how many of the requests `counted` were rejected, and their number.
+fn rejections_at_normal_load(gap: Time, counted: std::ops::Range<u64>) -> (u64, u64) {
     let (mut rejections, mut arrivals) = (0, 0);
     for seed in 0..20 {
         let mut settings = Settings { tier: 0, ..idempotent_settings() };
         settings.classes[0].latency_objective = 2.5;
         let mut balancer = TestBalancer::seeded(seed, settings, &backends(16));
-        let mut chance = SmallRng::seed_from_u64(seed);
-        let mut interval = |mean: Time| -mean * (1.0 - chance.random::<f64>()).ln();
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let mut interval = |mean: Time| -mean * (1.0 - rng.random::<f64>()).ln();
         let mut outstanding: Vec<(Time, u64, u32, Time)> = Vec::new();
         let mut now = 0.0;
         for id in 0..counted.end {
@@ -83,24 +83,25 @@
 
 #[test]
 fn variation_among_few_requests_is_no_overload() {
-    // Guards against this fault: a quiet proxy of a large fleet with two requests in flight on average shed
-    // load at four, and rejected one request in ten at normal load.
-    let (rejections, arrivals) = refused_in_calm(0.3, 20..120);
+    // Guards against this fault: a proxy of a large fleet with two requests in flight on average shed load at
+    // four, and rejected one request in ten at normal load.
+    let (rejections, arrivals) = rejections_at_normal_load(0.3, 20..120);
     assert!(rejections * 30 < arrivals, "{rejections} of {arrivals}");
 }
 
 #[test]
 fn requests_in_flight_after_a_start_are_no_overload() {
-    // Guards against this fault: with a mean of the first responses only, which are the fastest, a proxy that
-    // had just started took its normal load for an overload and rejected one request in seven.
-    let (rejections, arrivals) = refused_in_calm(0.1, 0..40);
+    // Guards against this fault: the baseline of a proxy that had just started was the mean of the first
+    // responses only, which are the fastest. It treated its normal load as overload and rejected one request
+    // in seven.
+    let (rejections, arrivals) = rejections_at_normal_load(0.1, 0..40);
     assert!(rejections * 30 < arrivals, "{rejections} of {arrivals}");
 }
 
 #[test]
 fn fewer_backends_get_fewer_requests() {
-    // Guards against this fault: during a release the requests of the whole fleet went to the one backend
-    // left in service.
+    // Guards against this fault: during a release the requests of the whole fleet were sent to the only
+    // backend that remained in service.
     let admitted = |status: EndpointStatus| {
         let mut balancer = TestBalancer::new(Settings { tier: 0, ..idempotent_settings() }, &backends(4));
         for id in 0..400 {
@@ -115,8 +116,8 @@
                 }
             }
         }
-        let left: Vec<_> = backends(4).into_iter().skip(1).map(|e| EndpointEntry { status, ..e }).collect();
-        balancer.event(Event::Endpoints(EndpointUpdate::Changes(&left)));
+        let others: Vec<_> = backends(4).into_iter().skip(1).map(|e| EndpointEntry { status, ..e }).collect();
+        balancer.event(Event::Endpoints(EndpointUpdate::Changes(&others)));
         (10_000..10_100).filter(|id| !attempts_sent(&balancer.request(*id)).is_empty()).count()
     };
     let (few, all) = (admitted(EndpointStatus::Draining), admitted(EndpointStatus::InService));
@@ -148,7 +149,7 @@
             shed[class][tenant] += usize::from(is_rejected(&actions, round));
         }
         waiting.extend(attempts_sent(&actions).into_iter().map(|(id, to)| (id, to, balancer.now)));
-        // The backends respond in order of arrival: to all requests at first, then to seven in ten.
+        // The backends respond in order of arrival: first to all requests, later to seven in ten.
         if (round < 500 || round % 10 < 7)
             && let Some((id, to, sent)) = waiting.pop_front()
         {
@@ -165,7 +166,7 @@
 
 #[test]
 fn hung_backends_do_not_cause_load_shedding() {
-    // Guards against this fault: requests stuck at a few hung backends were taken for an overload of the
+    // Guards against this fault: requests stuck at a few hung backends were treated as an overload of the
     // fleet.
     let mut settings = idempotent_settings();
     (settings.tier, settings.hedged_requests) = (0, false);
@@ -187,8 +188,8 @@
     assert!(shed < 60, "{shed} of 300");
 }
 
-/// Requests that arrived together while the process was stalled, at backends that respond in a fraction of a
-/// millisecond: as many as in an overload, and answered at once.
+/// Requests arrive together after a stall of the process, at backends that respond in a fraction of a
+/// millisecond. There are as many as in an overload, but they are answered at once.
 #[test]
 fn requests_admitted_after_a_stall_are_no_overload() {
     let mut settings = Settings { tier: 0, ..idempotent_settings() };
@@ -197,12 +198,12 @@
     for (rate, stall) in [(20.0, 0.2), (192.0, 0.02), (192.0, 0.05), (2000.0, 0.005)] {
         let mut balancer = TestBalancer::seeded(7, settings.clone(), &backends(8));
         for id in 0..10_000 {
-            // In every hundredth round the process stalls, and all requests of that time arrive together.
+            // The process stalls in every hundredth round, and all requests of that time arrive together.
             let stalls = id % 100 == 99;
-            let together = if stalls { (rate * stall) as u64 } else { 1 };
+            let arrivals = if stalls { (rate * stall) as u64 } else { 1 };
             balancer.run_to(balancer.now + if stalls { stall } else { 1.0 / rate });
             let mut outstanding = Vec::new();
-            for n in 0..together {
+            for n in 0..arrivals {
                 let actions = balancer.request(100 * id + n);
                 rejections += usize::from(is_rejected(&actions, 100 * id + n));
                 outstanding.extend(attempts_sent(&actions));
@@ -217,7 +218,7 @@
     assert_eq!(rejections, 0);
 }
 
-/// Requests that arrived on new connections while the process was paused, at idle backends.
+/// Requests arrived on new connections while the process was paused; all backends are idle.
 #[test]
 fn requests_after_a_pause_are_served_by_idle_backends() {
     let mut settings = Settings { tier: 0, ..idempotent_settings() };
@@ -230,5 +231,5 @@
     }
     balancer.run_to(balancer.now + 0.45);
     let rejections = (1000..1240).filter(|id| is_rejected(&balancer.request_for(*id, 2.0), *id)).count();
-    assert_eq!(rejections, 0, "of 240 that take 3 ms each at four backends");
+    assert_eq!(rejections, 0, "of 240 requests that take 3 ms each at four backends");
 }
--- a/tests/decisions/endpoints.rs
+++ b/tests/decisions/endpoints.rs
@@ -10,7 +10,7 @@
         let mut balancer = TestBalancer::new(idempotent_settings(), &[endpoint(1)]);
         balancer.request(1);
         balancer.event(Event::Endpoints(EndpointUpdate::Changes(&[EndpointEntry { status, ..endpoint(1) }])));
-        // Not even a rejected request that has no other backend.
+        // A rejected request is not sent to it either, although there is no other backend.
         let to = BackendId(1);
         let ended = AttemptEnded {
             id: RequestId(1),
@@ -31,7 +31,7 @@
         assert_eq!(
             attempts_sent(&balancer.request(id)),
             [(id, 2)],
-            "a backend that a snapshot lacks is removed"
+            "a backend that is missing in a snapshot is removed"
         );
     }
 }
@@ -48,16 +48,16 @@
     for round in 0..6 {
         let start = balancer.now;
         balancer.event(Event::Endpoints(EndpointUpdate::PollFailed));
-        let mut again = balancer.run_to(start + 2.0 * settings.poll_timeout);
-        again.retain(|(_, a)| matches!(a, Action::PollDiscovery));
-        assert_eq!(again.len(), 1, "one poll after each failure");
-        let wait = again[0].0 - start;
+        let mut next_polls = balancer.run_to(start + 2.0 * settings.poll_timeout);
+        next_polls.retain(|(_, a)| matches!(a, Action::PollDiscovery));
+        assert_eq!(next_polls.len(), 1, "one poll after each failure");
+        let wait = next_polls[0].0 - start;
         assert!(wait > 0.0 && wait < 1.5 * settings.poll_timeout, "{wait}");
         if round > 3 {
             assert!(wait > last * 0.3, "the backoff grows");
         }
         last = wait;
-        assert!(attempts_sent(&balancer.request(round))[0].1 <= 3, "the last list is retained");
+        assert!(attempts_sent(&balancer.request(round))[0].1 <= 3, "the previous list is retained");
     }
     // Proxies that start together do not poll together.
     let mut times: Vec<Time> = (0..20)
@@ -69,7 +69,7 @@
 
 #[test]
 fn polls_after_failures_come_within_the_notification_time() {
-    // Discovery returns right after a poll was lost, and does not answer the next one either.
+    // Discovery recovers right after a poll was lost, and does not answer the next poll either.
     let [poll_timeout, response_time, notification_time] = [1.5, 0.3, 6.0];
     for seed in 0..200 {
         let mut settings = idempotent_settings();
@@ -85,15 +85,15 @@
             waits.push(poll_times(balancer.run_to(start + 20.0))[0] - start);
         }
         let first = waits[0] + poll_timeout + waits[1] + response_time;
-        assert!(first < notification_time, "seed {seed}: at the start {first}");
+        assert!(first < notification_time, "seed {seed}: {first} after the start");
         for pair in waits[1..].windows(2) {
-            let chain = poll_timeout + pair[0] + poll_timeout + pair[1] + response_time;
-            assert!(chain < notification_time, "seed {seed}: {chain}, {waits:?}");
+            let notified_after = poll_timeout + pair[0] + poll_timeout + pair[1] + response_time;
+            assert!(notified_after < notification_time, "seed {seed}: {notified_after}, {waits:?}");
         }
-        // A watch that was established falls silent: its poll times out later.
-        let silent = 2.6 + waits[1] + poll_timeout + waits[2] + response_time;
-        assert!(silent < notification_time, "seed {seed}: {silent}");
-        assert!(waits[1..].iter().all(|wait| *wait > 0.1), "no needless polls: {waits:?}");
+        // An established watch becomes unresponsive: its poll times out later.
+        let unresponsive = 2.6 + waits[1] + poll_timeout + waits[2] + response_time;
+        assert!(unresponsive < notification_time, "seed {seed}: {unresponsive}");
+        assert!(waits[1..].iter().all(|wait| *wait > 0.1), "no unnecessary polls: {waits:?}");
     }
 }
 
@@ -101,7 +101,7 @@
 fn removed_backends_are_forgotten_unless_attempts_are_outstanding() {
     let mut balancer = TestBalancer::new(idempotent_settings(), &backends(4));
     for round in 0..200 {
-        // A snapshot or changes: four backends are removed and four added.
+        // A snapshot or a list of changes removes four backends and adds four.
         let ids = |round: u32| 10 + 4 * round..14 + 4 * round;
         match round % 2 {
             0 => {
@@ -109,9 +109,9 @@
                 balancer.event(Event::Endpoints(EndpointUpdate::Snapshot(&list)));
             }
             _ => {
-                let gone = ids(round - 1)
+                let removed = ids(round - 1)
                     .map(|id| EndpointEntry { status: EndpointStatus::Removed, ..endpoint(id) });
-                let list: Vec<EndpointEntry> = gone.chain(ids(round).map(endpoint)).collect();
+                let list: Vec<EndpointEntry> = removed.chain(ids(round).map(endpoint)).collect();
                 balancer.event(Event::Endpoints(EndpointUpdate::Changes(&list)));
             }
         }
@@ -141,18 +141,18 @@
     settings.idle_release_timeout = Some(0.5);
     let mut balancer = TestBalancer::new(settings, &backends(1));
     balancer.request(1);
-    let drains = EndpointEntry { status: EndpointStatus::Draining, ..endpoint(1) };
+    let draining = EndpointEntry { status: EndpointStatus::Draining, ..endpoint(1) };
     let close = Action::CloseIdleConnections(BackendId(1));
     assert!(
         balancer
-            .event(Event::Endpoints(EndpointUpdate::Changes(std::slice::from_ref(&drains))))
+            .event(Event::Endpoints(EndpointUpdate::Changes(std::slice::from_ref(&draining))))
             .contains(&close)
     );
     balancer.run_to(0.1);
-    assert!(balancer.end_attempt(1, 0, 1, Outcome::Served, 0.1).contains(&close), "after an outcome too");
+    assert!(balancer.end_attempt(1, 0, 1, Outcome::Served, 0.1).contains(&close), "also after an outcome");
     let mut balancer = TestBalancer::new(idempotent_settings(), &backends(1));
     assert_eq!(
-        balancer.event(Event::Endpoints(EndpointUpdate::Changes(&[drains]))),
+        balancer.event(Event::Endpoints(EndpointUpdate::Changes(&[draining]))),
         [],
         "only where a timeout is set"
     );
--- a/tests/decisions/final_answer.rs
+++ b/tests/decisions/final_answer.rs
@@ -1,4 +1,4 @@
-//! Each request has exactly one final answer, in time.
+//! Each request gets exactly one final answer, in time.
 
 use super::backends;
 use super::common::*;
@@ -20,7 +20,7 @@
     assert_eq!(answers.len(), 1);
     assert!(answers[0] < 1.5 && answers[0] > 1.4);
     assert_eq!(balancer.inner.open_requests(), 0);
-    // Late outcomes of an answered request have no effect on its client.
+    // A late outcome of an answered request causes no action.
     assert_eq!(balancer.end_attempt(1, 0, 1, Outcome::Timeout, 1.5), []);
 }
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn unneeded_attempts_run_on_where_connections_are_costly() {
+fn unneeded_attempts_continue_where_connections_are_costly() {
     // Guards against this fault: each hedged attempt cost a handshake, at every proxy of a large fleet.
     let mut balancer =
         TestBalancer::new(Settings { costly_connections: true, ..idempotent_settings() }, &backends(4));
@@ -123,7 +123,7 @@
     assert!(!is_rejected(&balancer.request_for(101, 0.09), 101));
 }
 
-/// A request's own deadline can be later than that of the shutdown.
+/// The deadline of a request can be later than that of the shutdown.
 #[test]
 fn shutdown_answers_all_requests_by_its_deadline() {
     for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
@@ -138,10 +138,10 @@
             .filter(|(_, action)| matches!(action, Action::Reject { .. } | Action::Fail { .. }))
             .collect();
         let at = |id| {
-            let of = |action: &Action| {
+            let is_answer = |action: &Action| {
                 is_rejected(std::slice::from_ref(action), id) || is_failed(std::slice::from_ref(action), id)
             };
-            answers.iter().filter(|(_, action)| of(action)).map(|(at, _)| *at).collect::<Vec<Time>>()
+            answers.iter().filter(|(_, action)| is_answer(action)).map(|(at, _)| *at).collect::<Vec<Time>>()
         };
         assert_eq!(at(1), [0.9], "{idempotency:?}");
         assert!(at(2)[0] <= 0.5 && at(2).len() == 1, "{idempotency:?}: {:?}", at(2));
--- a/tests/decisions/idempotency.rs
+++ b/tests/decisions/idempotency.rs
@@ -1,4 +1,4 @@
-//! What may be retried, by idempotency and outcome.
+//! Which requests may be retried, by idempotency and outcome.
 
 use super::backends;
 use super::common::*;
@@ -8,7 +8,7 @@
 fn the_final_answer_depends_on_idempotency_and_outcome() {
     use Outcome::*;
     let keyed = |scope| Idempotency::IdempotencyKey { scope, window: 5.0 };
-    // Whether a request whose only attempt failed is rejected, and not failed.
+    // Whether a request whose only attempt failed is rejected rather than failed.
     let cases = [
         (Idempotency::Idempotent, [true; 6]),
         (keyed(DeduplicationScope::All), [true; 6]),
@@ -16,9 +16,9 @@
         (keyed(DeduplicationScope::FailureDomain), [false, true, false, true, false, true]),
         (Idempotency::NonIdempotent, [false, true, false, true, false, true]),
     ];
-    for (idempotency, harmless) in cases {
-        for (outcome, harmless) in
-            [Error, Rejected, Timeout, ConnectFailed, Reset, NotSent].into_iter().zip(harmless)
+    for (idempotency, rejected) in cases {
+        for (outcome, rejected) in
+            [Error, Rejected, Timeout, ConnectFailed, Reset, NotSent].into_iter().zip(rejected)
         {
             let mut settings = settings_for(idempotency);
             settings.max_attempts = 1;
@@ -26,8 +26,8 @@
             let to = attempts_sent(&balancer.request(1))[0].1;
             balancer.now = 0.1;
             let actions = balancer.end_attempt(1, 0, to, outcome, 0.1);
-            assert_eq!(is_rejected(&actions, 1), harmless, "{idempotency:?} {outcome:?}");
-            assert_eq!(is_failed(&actions, 1), !harmless, "{idempotency:?} {outcome:?}");
+            assert_eq!(is_rejected(&actions, 1), rejected, "{idempotency:?} {outcome:?}");
+            assert_eq!(is_failed(&actions, 1), !rejected, "{idempotency:?} {outcome:?}");
             assert_eq!(balancer.run_to(5.0), [], "no action after the final answer");
         }
     }
@@ -51,27 +51,27 @@
                 "{idempotency:?}: retried"
             );
         }
-        // Both backends are still used alike.
-        let met: std::collections::BTreeSet<u32> = (100..140).map(|id| balancer.serve(id, 0.05)).collect();
-        assert_eq!(met.len(), 2, "{idempotency:?}");
+        // Both backends are still used.
+        let used: std::collections::BTreeSet<u32> = (100..140).map(|id| balancer.serve(id, 0.05)).collect();
+        assert_eq!(used.len(), 2, "{idempotency:?}");
     }
 }
 
 #[test]
 fn a_non_idempotent_request_is_retried_only_if_not_executed() {
-    for (outcome, again) in
+    for (outcome, retries) in
         [(Outcome::Rejected, 1), (Outcome::ConnectFailed, 1), (Outcome::Error, 0), (Outcome::Reset, 0)]
     {
         let mut balancer = TestBalancer::new(settings_for(Idempotency::NonIdempotent), &backends(4));
         let to = attempts_sent(&balancer.request(1))[0].1;
         balancer.now = 0.1;
         let actions = balancer.end_attempt(1, 0, to, outcome, 0.1);
-        assert_eq!(is_failed(&actions, 1), again == 0, "no retry is allowed");
-        assert_eq!(attempts_sent(&without_times(balancer.run_to(0.5))).len(), again, "{outcome:?}");
+        assert_eq!(is_failed(&actions, 1), retries == 0, "no retry is allowed");
+        assert_eq!(attempts_sent(&without_times(balancer.run_to(0.5))).len(), retries, "{outcome:?}");
     }
     let mut balancer = TestBalancer::new(settings_for(Idempotency::NonIdempotent), &backends(4));
     balancer.request(1);
-    assert_eq!(attempts_sent(&without_times(balancer.run_to(0.9))), [], "it may be executing");
+    assert_eq!(attempts_sent(&without_times(balancer.run_to(0.9))), [], "the request may be executing");
 }
 
 #[test]
@@ -83,14 +83,14 @@
             Idempotency::IdempotencyKey { scope: DeduplicationScope::FailureDomain, window: 5.0 };
         let mut balancer = TestBalancer::seeded(seed, settings_for(idempotency), &list);
         let first = attempts_sent(&balancer.request(1))[0].1;
-        let again = attempts_sent(&without_times(balancer.run_to(0.5)));
-        assert_eq!(again.len(), 1, "the other backend of the failure domain, in the subset or not");
-        assert_eq!(again[0].1 % 4, first % 4);
+        let retries = attempts_sent(&without_times(balancer.run_to(0.5)));
+        assert_eq!(retries.len(), 1, "the other backend of the failure domain, in the subset or not");
+        assert_eq!(retries[0].1 % 4, first % 4);
         let idempotency =
             Idempotency::IdempotencyKey { scope: DeduplicationScope::FailureDomain, window: 0.2 };
         let mut balancer = TestBalancer::seeded(seed, settings_for(idempotency), &list);
         balancer.request(1);
-        assert_eq!(attempts_sent(&without_times(balancer.run_to(0.9))), [], "the window is over");
+        assert_eq!(attempts_sent(&without_times(balancer.run_to(0.9))), [], "the idempotency window is over");
         let idempotency = Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 5.0 };
         let mut balancer = TestBalancer::seeded(seed, settings_for(idempotency), &list);
         let first = attempts_sent(&balancer.request(1))[0].1;
@@ -102,34 +102,37 @@
 
 #[test]
 fn attempts_of_a_keyed_request_share_the_send_deadline_of_the_first_executed() {
-    let bounds = |actions: &[Action]| -> Vec<Option<Time>> {
-        let bound = |a: &Action| match a {
+    let send_deadlines = |actions: &[Action]| -> Vec<Option<Time>> {
+        let send_deadline = |a: &Action| match a {
             Action::Send { send_deadline, .. } => Some(*send_deadline),
             _ => None,
         };
-        actions.iter().filter_map(bound).collect()
+        actions.iter().filter_map(send_deadline).collect()
     };
     let keyed = |window| settings_for(Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window });
     let mut balancer = TestBalancer::new(keyed(0.9), &backends(4));
     balancer.run_to(1.0);
-    // The first attempt too: a retry may be executed before its connection is up.
-    assert_eq!(bounds(&balancer.request(1)), [Some(1.9)]);
+    // The first attempt has it too: a retry may be executed before the first connection is established.
+    assert_eq!(send_deadlines(&balancer.request(1)), [Some(1.9)]);
     assert_eq!(
-        bounds(&without_times(balancer.run_to(1.6))),
+        send_deadlines(&without_times(balancer.run_to(1.6))),
         [Some(1.9)],
         "the window starts at the first attempt"
     );
-    // An attempt that was not executed does not start the window.
+    // An attempt that was not executed does not start the idempotency window.
     let to = attempts_sent(&balancer.request(2))[0].1;
     balancer.end_attempt(2, 0, to, Outcome::ConnectFailed, 0.1);
     let start = balancer.now;
-    let again = balancer.run_to(start + 0.8);
-    let (at, _) = again.iter().find(|(_, a)| matches!(a, Action::Send { id, .. } if id.0 == 2)).unwrap();
-    let bound = bounds(&without_times(
-        again.iter().filter(|(_, a)| matches!(a, Action::Send { id, .. } if id.0 == 2)).cloned().collect(),
+    let actions = balancer.run_to(start + 0.8);
+    let (at, _) = actions.iter().find(|(_, a)| matches!(a, Action::Send { id, .. } if id.0 == 2)).unwrap();
+    let deadlines = send_deadlines(&without_times(
+        actions.iter().filter(|(_, a)| matches!(a, Action::Send { id, .. } if id.0 == 2)).cloned().collect(),
     ));
-    assert!((bound[0].unwrap() - at - 0.9).abs() < 1e-9, "{bound:?} at {at}");
+    assert!((deadlines[0].unwrap() - at - 0.9).abs() < 1e-9, "{deadlines:?} at {at}");
     for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
-        assert_eq!(bounds(&TestBalancer::new(settings_for(idempotency), &backends(4)).request(1)), [None]);
+        assert_eq!(
+            send_deadlines(&TestBalancer::new(settings_for(idempotency), &backends(4)).request(1)),
+            [None]
+        );
     }
 }
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! The decisions of one balancer, through its public interface.
+//! Tests of the decisions of one balancer, through its public interface.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/decisions/ordering.rs
+++ b/tests/decisions/ordering.rs
@@ -27,8 +27,8 @@
     balancer.run_to(0.1);
     let next = attempts_sent(&balancer.end_attempt(1, 0, to, Outcome::Served, 0.1));
     assert_eq!(next.iter().map(|s| s.0).collect::<Vec<_>>(), [2], "in the order of arrival");
-    // The client of the first disconnects: its cancelled attempt blocks the key, and then the quiet period
-    // begins.
+    // The client of the second request disconnects: its cancelled attempt blocks the key until it ends, and
+    // then the quiet period begins.
     assert!(
         balancer
             .event(Event::ClientDisconnected(RequestId(2)))
@@ -49,10 +49,10 @@
     keyed_request(&mut balancer, 1, 7);
     assert_eq!(attempts_sent(&keyed_request(&mut balancer, 2, 7)), []);
     let seen = without_times(balancer.run_to(3.0));
-    assert!(is_failed(&seen, 1), "it may have been executed");
-    assert!(is_rejected(&seen, 2), "it was never sent");
+    assert!(is_failed(&seen, 1), "the request may have been executed");
+    assert!(is_rejected(&seen, 2), "the request was never sent");
     assert_eq!(attempts_sent(&seen), []);
-    // Behind many that take 0.4 s each, a request with 2 s left cannot be answered in time.
+    // Behind many requests that take 0.4 s each, a request with 2 s left cannot be answered in time.
     let mut balancer = TestBalancer::new(ordered(Idempotency::NonIdempotent), &backends(4));
     for id in 0..60 {
         balancer.serve(id, 0.2);
--- a/tests/decisions/retry.rs
+++ b/tests/decisions/retry.rs
@@ -1,13 +1,13 @@
-//! When requests are retried, how often and where.
+//! When requests are retried, how often and at which backends.
 
 use super::backends;
 use super::common::*;
 use linkhatch_proxy::*;
 
 #[test]
-fn a_lone_request_is_always_retried() {
-    // Guards against this fault: at a quiet proxy, where the send rate times T1 is far below one, a request
-    // was not retried.
+fn a_single_request_is_always_retried() {
+    // Guards against this fault: at a proxy with little traffic, where the send rate times T1 is far below
+    // one, a request was not retried.
     for seed in 0..300 {
         let mut balancer = TestBalancer::seeded(seed, idempotent_settings(), &backends(4));
         balancer.run_to(0.5);
@@ -18,8 +18,8 @@
 
 #[test]
 fn many_unanswered_requests_lower_the_retry_probability() {
-    // The send rate is that of one short burst, so by Little's law these requests wait for long.
-    let mut repeated = 0;
+    // The requests are one short burst, so by Little's law they wait for a long time.
+    let mut retries = 0;
     let mut fired = 0;
     for seed in 0..200 {
         let mut balancer = TestBalancer::seeded(seed, idempotent_settings(), &backends(4));
@@ -31,17 +31,17 @@
         balancer.timers.retain(|(at, _)| *at > 3.9);
         fired += balancer.timers.iter().filter(|(at, _)| *at < 4.4).count();
         let seen = balancer.run_to(4.4);
-        repeated += seen.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count();
+        retries += seen.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count();
     }
-    let share = repeated as f64 / fired as f64;
+    let share = retries as f64 / fired as f64;
     assert!(share < 0.5, "{share}");
     assert!(share > 0.0, "p does not fall to 0");
 }
 
 #[test]
 fn retry_timers_double() {
-    // An idempotent request with an objective of one second and no latency baseline: T1 is 0.4 s, spread by a
-    // tenth.
+    // For an idempotent request with an objective of one second and no latency baseline T1 is 0.4 s, with a
+    // jitter of a tenth.
     let mut balancer = TestBalancer::new(idempotent_settings(), &backends(8));
     balancer.request(1);
     let seen = balancer.run_to(2.0);
--- a/tests/decisions/selection.rs
+++ b/tests/decisions/selection.rs
@@ -17,23 +17,23 @@
 
 #[test]
 fn requests_cross_zones_only_when_the_own_zone_is_much_busier() {
-    // Guards against this fault: crossings without gain, and a zone that got more traffic than its own
-    // backends can serve.
+    // Guards against these faults: requests crossed zones without benefit, and a zone got more traffic than
+    // its own backends can serve.
     let list: Vec<EndpointEntry> = (1..=8).map(|i| EndpointEntry { zone: i % 2, ..endpoint(i) }).collect();
     let mut balancer =
         TestBalancer::new(Settings { cross_zone_cost: 0.2, zone: 1, ..idempotent_settings() }, &list);
     for id in 0..40 {
-        assert_eq!(balancer.serve(id, 0.05) % 2, 1, "idle backends of the own zone");
+        assert_eq!(balancer.serve(id, 0.05) % 2, 1, "backends of the own zone are idle");
     }
     let crossed =
         (100..140).flat_map(|id| attempts_sent(&balancer.request(id))).filter(|(_, to)| to % 2 == 0).count();
     assert!((1..20).contains(&crossed), "{crossed}");
     let mut balancer = TestBalancer::new(Settings { zone: 1, ..idempotent_settings() }, &list);
     let crossed = (0..40).filter(|id| balancer.serve(*id, 0.05).is_multiple_of(2)).count();
-    assert!(crossed > 5, "no cost, no preference: {crossed}");
+    assert!(crossed > 5, "without a cost no zone is preferred: {crossed}");
 }
 
-/// A single proxy with very many equal backends: rounding must leave some to choose from.
+/// With a single proxy and very many equal backends, rounding errors must not exclude all of them.
 #[test]
 fn a_backend_is_selected_among_thousands_of_equals() {
     for count in [1_300, 4_000] {
--- a/tests/decisions/settings.rs
+++ b/tests/decisions/settings.rs
@@ -39,7 +39,7 @@
             work_estimate: None,
         };
         let actions = balancer.event(Event::Request(request));
-        assert!(is_rejected(&actions, id), "no aim, no worth: no retry is allowed");
+        assert!(is_rejected(&actions, id), "no latency objective and no weight: no retry is allowed");
     }
     balancer.event(Event::Endpoints(EndpointUpdate::PollFailed));
     assert_eq!(balancer.inner.open_requests(), 0);
@@ -48,7 +48,7 @@
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let play = |seed| {
+    let run = |seed| {
         let mut balancer = TestBalancer::seeded(seed, idempotent_settings(), &backends(9));
         let mut log = Vec::new();
         for id in 0..200 {
@@ -57,8 +57,8 @@
         }
         log
     };
-    assert_eq!(play(5), play(5));
-    assert_ne!(play(5), play(6));
+    assert_eq!(run(5), run(5));
+    assert_ne!(run(5), run(6));
 }
 
 #[test]
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_backend_in_slow_start_gets_part_of_its_traffic() {
-    // Many quiet proxies together stay far below the load that overloads the backend.
+    // Many proxies with little traffic together stay far below the load that overloads the backend.
     let settings = Settings {
         proxy_count: 100,
         slow_start_duration: 20.0,
@@ -36,9 +36,9 @@
     let each = f64::from(others) / 3.0;
     assert!(
         f64::from(starting) < 0.8 * each,
-        "{starting} against {each}: a fifth to a third, times the margin"
+        "{starting} against {each}: expected a fifth to a third, times the margin"
     );
-    assert!(starting > 0, "slow start ends only with requests");
+    assert!(starting > 0, "slow start ends only if the backend gets requests");
 }
 
 #[test]
@@ -66,14 +66,15 @@
         }
         balancer.run_to(balancer.now + 0.05);
     }
-    // 20 per second at three backends with a tenth of their capacity: 3 x 0.1 x 6.7 each overloads them.
+    // 20 requests per second at three backends with a tenth of their capacity: 3 x 0.1 x 6.7 overload each of
+    // them.
     assert!(sent <= 9, "{sent}");
 }
 
 #[test]
 fn an_overload_does_not_raise_the_slow_start_budget() {
-    // Guards against this fault: the budget followed the send rate. With clients that retry without pause it
-    // was four times what the backends could serve, and one was overloaded.
+    // Guards against this fault: the budget was proportional to the send rate. With clients that retry
+    // without pause it was four times what the backends could serve, and a backend was overloaded.
     let settings = Settings {
         proxy_count: 1,
         slow_start_duration: 20.0,
@@ -91,7 +92,7 @@
             balancer.event(Event::Endpoints(EndpointUpdate::Snapshot(&list)));
         }
         starting += attempts_sent(&actions).iter().filter(|s| id > 1000 && s.1 == 1).count();
-        // Of a hundred requests per second ten are served.
+        // Ten of a hundred requests per second are served.
         if let Some((_, to)) = attempts_sent(&actions).first().filter(|_| id % 10 == 0) {
             balancer.end_attempt(id, 0, *to, Outcome::Served, 0.05);
         }
@@ -100,14 +101,15 @@
             attempts_sent(&without_times(seen.clone())).iter().filter(|s| id > 1000 && s.1 == 1).count();
         balancer.confirm_cancels(&without_times(seen));
     }
-    // Ten seconds at 2.5 per second and backend, of which it can serve a tenth to a half.
+    // For ten seconds each backend gets 2.5 requests per second, of which this one can serve a tenth to a
+    // half.
     assert!(starting <= 12, "{starting}");
 }
 
 #[test]
 fn unused_slow_start_budget_is_not_sent_at_once() {
-    // Guards against this fault: quiet proxies saved their budgets up to a whole request, and when the other
-    // members failed all of them spent it within a second.
+    // Guards against this fault: proxies with little traffic saved their budgets up to a whole request, and
+    // when the other members failed all proxies used their budgets within a second.
     let settings = Settings {
         proxy_count: 100,
         slow_start_duration: 20.0,
@@ -131,7 +133,8 @@
         balancer.event(Event::Endpoints(EndpointUpdate::Snapshot(&list)));
         at_once += attempts_sent(&balancer.request(1000)).len();
     }
-    // Two per second over a few members, at half of the capacity, with a margin of 0.8 for a second.
+    // Two requests per second over a few members, at half of the capacity, with a margin of 0.8, for a
+    // second.
     assert!(at_once <= 130, "{at_once} of 200");
 }
 
@@ -144,7 +147,7 @@
 
 impl Member {
     /// Handles actions: the starting backend is slow, and one attempt in fifty times out.
-    fn sent(&mut self, actions: Vec<Action>, rng: &mut SmallRng, starting: u32, reached_at: &mut Vec<Time>) {
+    fn apply(&mut self, actions: Vec<Action>, rng: &mut SmallRng, starting: u32, reached_at: &mut Vec<Time>) {
         for action in actions {
             match action {
                 Action::Send { id, backend, .. } => {
@@ -153,15 +156,15 @@
                         reached_at.push(self.balancer.now);
                     }
                     let elapsed = if backend.0 == starting { 0.3 } else { 0.05 };
-                    let lost = rng.random::<f64>() < 0.02;
+                    let times_out = rng.random::<f64>() < 0.02;
                     let (elapsed, outcome) =
-                        if lost { (1.9, Outcome::Timeout) } else { (elapsed, Outcome::Served) };
+                        if times_out { (1.9, Outcome::Timeout) } else { (elapsed, Outcome::Served) };
                     self.outstanding.push((self.balancer.now + elapsed, id.0, attempt, backend.0, outcome));
                 }
                 Action::Cancel { id, attempt } => {
                     self.outstanding.retain(|o| (o.1, o.2) != (id.0, attempt));
                     let more = self.balancer.confirm_cancels(&[Action::Cancel { id, attempt }]);
-                    self.sent(more, rng, starting, reached_at);
+                    self.apply(more, rng, starting, reached_at);
                 }
                 _ => {}
             }
@@ -169,8 +172,8 @@
     }
 }
 
-/// Of the attempts of all proxies within the overload duration, a backend in slow start may get those
-/// allowed, N, and 2 root N + 2 more by chance.
+/// Within the overload duration a backend in slow start may get N attempts from all proxies, and by chance up
+/// to 2 root N + 2 more.
 #[test]
 fn thirty_proxies_together_stay_within_slow_start_capacity() {
     const PROXIES: usize = 30;
@@ -184,8 +187,8 @@
         overload_duration: 1.0,
         ..idempotent_settings()
     };
-    // Uneven traffic, bursts, several proxies that start at the same time, restarts; all at nearly the full
-    // capacity.
+    // The cases are uneven traffic, bursts, several proxies that start at the same time, and restarts, all at
+    // nearly the full capacity.
     for (name, uneven, bursts, new_at_start, restarts) in [
         ("even", false, false, 0, false),
         ("uneven", true, false, 0, false),
@@ -238,17 +241,17 @@
                 }
                 for member in &mut members {
                     let due = without_times(member.balancer.run_to(now));
-                    member.sent(due, &mut rng, starting, &mut reached_at);
+                    member.apply(due, &mut rng, starting, &mut reached_at);
                     while let Some(at) = member.outstanding.iter().position(|o| o.0 <= now) {
                         let (_, id, attempt, to, outcome) = member.outstanding.swap_remove(at);
                         let actions = member.balancer.end_attempt(id, attempt, to, outcome, 0.05);
-                        member.sent(actions, &mut rng, starting, &mut reached_at);
+                        member.apply(actions, &mut rng, starting, &mut reached_at);
                     }
                     let burst = if bursts && now % 5.0 < 1.0 { 2.0 } else { 1.0 };
                     if rng.random::<f64>() < member.rate * burst * STEP {
                         next_id += 1;
                         let actions = member.balancer.request(next_id);
-                        member.sent(actions, &mut rng, starting, &mut reached_at);
+                        member.apply(actions, &mut rng, starting, &mut reached_at);
                     }
                 }
             }
@@ -257,13 +260,13 @@
                     reached_at[i..].iter().take_while(|t| **t < at + settings.overload_duration).count()
                         as f64;
                 let progress = ((at - START) / settings.slow_start_duration).clamp(0.0, 1.0);
-                let part =
+                let fraction =
                     settings.slow_start_min_capacity + (1.0 - settings.slow_start_min_capacity) * progress;
-                let allowed = settings.overload_factor * part * capacity * settings.overload_duration;
-                let most = allowed + 2.0 * allowed.sqrt() + 2.0;
-                assert!(count <= most, "{name}, seed {seed}: {count} of {most:.1} at {at:.2}");
+                let allowed = settings.overload_factor * fraction * capacity * settings.overload_duration;
+                let max_count = allowed + 2.0 * allowed.sqrt() + 2.0;
+                assert!(count <= max_count, "{name}, seed {seed}: {count} of {max_count:.1} at {at:.2}");
             }
-            assert!(reached_at.len() > 20, "{name}, seed {seed}: it gets requests: {}", reached_at.len());
+            assert!(reached_at.len() > 20, "{name}, seed {seed}: too few requests: {}", reached_at.len());
         }
     }
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! The invariants of the decisions, on random valid event sequences. A test shows that the checker finds
-//! planted violations.
+//! Checks the invariants of the decisions on random valid event sequences. A test shows that the checker
+//! finds planted violations.
 
 mod common;
 use common::endpoint;
@@ -31,7 +31,7 @@
     settings: Settings,
     open: HashMap<u64, ObservedRequest>,
     list: HashMap<u32, EndpointEntry>,
-    /// Draining backends whose idle connections are open: since when, the notice or the last outcome.
+    /// Draining backends whose idle connections are open, and the time of the last update or outcome.
     idle_open_since: HashMap<u32, Time>,
     violations: Vec<String>,
 }
@@ -47,18 +47,18 @@
         }
     }
 
-    fn report(&mut self, violations_found: String) {
-        self.violations.push(violations_found);
+    fn report(&mut self, violation: String) {
+        self.violations.push(violation);
     }
 
-    /// The violation if this request is sent now. Ids ascend in order of arrival.
-    fn out_of_order(&self, now: Time, id: u64) -> Option<&'static str> {
+    /// The violation of the ordering if this request is sent now. Ids ascend in order of arrival.
+    fn order_violation(&self, now: Time, id: u64) -> Option<&'static str> {
         let ordered = |o: &&ObservedRequest| self.settings.classes[o.class].ordered && o.key.is_some();
         let key = self.open.get(&id).filter(ordered)?.key;
         for earlier in self.open.iter().filter(|(i, o)| **i < id && ordered(o) && o.key == key) {
-            let is_in_quiet_period = |t: &ObservedAttempt| {
-                matches!(t.outcome, Some(Outcome::Timeout | Outcome::Reset | Outcome::Cancelled))
-                    && now < t.ended_at + self.settings.ordering_quiet_period
+            let is_in_quiet_period = |attempt: &ObservedAttempt| {
+                matches!(attempt.outcome, Some(Outcome::Timeout | Outcome::Reset | Outcome::Cancelled))
+                    && now < attempt.ended_at + self.settings.ordering_quiet_period
             };
             if !earlier.1.is_done || earlier.1.attempts.iter().any(|t| t.outcome.is_none()) {
                 return Some("order: an earlier request is not done");
@@ -70,7 +70,8 @@
         None
     }
 
-    /// A backend was listed or had an outcome: if it is draining its idle connections have to be closed.
+    /// Records that a backend was listed or had an outcome: if it is draining, its idle connections must be
+    /// closed.
     fn backend_listed_or_used(&mut self, now: Time, backend: u32) {
         if self.list.get(&backend).is_some_and(|e| e.status == EndpointStatus::Draining) {
             self.idle_open_since.insert(backend, now);
@@ -80,14 +81,14 @@
     }
 
     fn check_idle_connections(&mut self, now: Time) {
-        let within = self.settings.idle_release_timeout.unwrap_or(f64::INFINITY);
-        if self.idle_open_since.values().any(|since| now > since + within) {
+        let timeout = self.settings.idle_release_timeout.unwrap_or(f64::INFINITY);
+        if self.idle_open_since.values().any(|since| now > since + timeout) {
             self.idle_open_since.clear();
             self.report("drain: connections left open".into());
         }
     }
 
-    fn action(&mut self, now: Time, action: &Action) {
+    fn check_action(&mut self, now: Time, action: &Action) {
         match action {
             Action::CloseIdleConnections(backend) => {
                 self.idle_open_since.remove(&backend.0);
@@ -103,38 +104,38 @@
                     self.report(format!("timeout {timeout}"));
                 }
                 let settings = self.settings.clone();
-                if let Some(violations_found) = self.out_of_order(now, id.0) {
-                    self.report(violations_found.into());
+                if let Some(violation) = self.order_violation(now, id.0) {
+                    self.report(violation.into());
                 }
                 let Some(open) = self.open.get_mut(&id.0) else {
                     return self.report(format!("sent unknown {id:?}"));
                 };
-                let mut violations_found = Vec::new();
+                let mut found = Vec::new();
                 if open.is_done {
-                    violations_found.push("sent after the final answer");
+                    found.push("sent after the final answer");
                 }
                 if open.attempts.len() >= settings.max_attempts {
-                    violations_found.push("too many attempts");
+                    found.push("too many attempts");
                 }
                 if !settings.hedged_requests && open.attempts.iter().any(|t| t.outcome.is_none()) {
-                    violations_found.push("two attempts at once");
+                    found.push("two attempts at once");
                 }
                 if let Some(first) = open.attempts.iter().find(|t| may_have_executed(t)) {
                     match settings.classes[open.class].idempotency {
                         Idempotency::Idempotent => {}
                         Idempotency::NonIdempotent => {
-                            violations_found.push("non-idempotent request sent twice");
+                            found.push("non-idempotent request sent twice");
                         }
                         Idempotency::IdempotencyKey { scope, window } => {
-                            let inside = match scope {
+                            let is_in_scope = match scope {
                                 DeduplicationScope::All => true,
                                 DeduplicationScope::Zone => first.zone == entry.zone,
                                 DeduplicationScope::FailureDomain => {
                                     first.failure_domain == entry.failure_domain
                                 }
                             };
-                            if !inside || now > first.sent_at + window {
-                                violations_found.push("keyed request outside its scope or window");
+                            if !is_in_scope || now > first.sent_at + window {
+                                found.push("keyed request outside its scope or window");
                             }
                         }
                     }
@@ -146,30 +147,30 @@
                     outcome: None,
                     ended_at: 0.0,
                 });
-                violations_found.into_iter().for_each(|w| self.violations.push(w.to_string()));
+                found.into_iter().for_each(|v| self.violations.push(v.to_string()));
             }
             Action::Reject { id, .. } => {
-                let harmless = self.open.get(&id.0).is_some_and(|open| {
-                    let all = matches!(
+                let is_safe_to_retry = self.open.get(&id.0).is_some_and(|open| {
+                    let is_always_safe = matches!(
                         self.settings.classes[open.class].idempotency,
                         Idempotency::Idempotent
                             | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. }
                     );
-                    all || !open.attempts.iter().any(may_have_executed)
+                    is_always_safe || !open.attempts.iter().any(may_have_executed)
                 });
-                if !harmless {
+                if !is_safe_to_retry {
                     self.report(format!("rejected {id:?}, which may have been executed"));
                 }
-                self.answer(now, id.0);
+                self.check_answer(now, id.0);
             }
-            Action::Fail { id } => self.answer(now, id.0),
+            Action::Fail { id } => self.check_answer(now, id.0),
             Action::Cancel { .. } if !self.settings.can_cancel => self.report("cancel forbidden".into()),
             Action::SetTimer { at, .. } if !at.is_finite() => self.report("timer at an invalid time".into()),
             _ => {}
         }
     }
 
-    fn answer(&mut self, now: Time, id: u64) {
+    fn check_answer(&mut self, now: Time, id: u64) {
         match self.open.get_mut(&id) {
             Some(open) if !open.is_done => {
                 open.is_done = true;
@@ -181,9 +182,9 @@
         }
     }
 
-    fn finish(&mut self) {
-        let lost: Vec<u64> = self.open.iter().filter(|(_, o)| !o.is_done).map(|(id, _)| *id).collect();
-        lost.into_iter().for_each(|id| self.report(format!("{id} not answered")));
+    fn check_all_answered(&mut self) {
+        let unanswered: Vec<u64> = self.open.iter().filter(|(_, o)| !o.is_done).map(|(id, _)| *id).collect();
+        unanswered.into_iter().for_each(|id| self.report(format!("{id} not answered")));
     }
 }
 
@@ -194,10 +195,10 @@
 #[derive(Clone, Debug)]
 enum Step {
     Request { class: usize, tenant: usize, key: u64, timeout: f64 },
-    End { which: usize, outcome: usize },
-    Disconnect { which: usize },
+    End { index: usize, outcome: usize },
+    Disconnect { index: usize },
     Wait(f64),
-    Change { which: u32, status: usize, restarted: bool },
+    Change { backend: u32, status: usize, restarted: bool },
     Snapshot { missing: u32 },
     PollFailed,
 }
@@ -205,10 +206,10 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..5usize, 0..2usize, 0..3u64, -0.1..2.0f64).prop_map(|(class, tenant, key, timeout)| Step::Request { class, tenant, key, timeout }),
-        6 => (0..50usize, 0..8usize).prop_map(|(which, outcome)| Step::End { which, outcome }),
-        1 => (0..50usize).prop_map(|which| Step::Disconnect { which }),
+        6 => (0..50usize, 0..8usize).prop_map(|(index, outcome)| Step::End { index, outcome }),
+        1 => (0..50usize).prop_map(|index| Step::Disconnect { index }),
         8 => (0.0..0.3f64).prop_map(Step::Wait),
-        2 => (1..8u32, 0..3usize, any::<bool>()).prop_map(|(which, status, restarted)| Step::Change { which, status, restarted }),
+        2 => (1..8u32, 0..3usize, any::<bool>()).prop_map(|(backend, status, restarted)| Step::Change { backend, status, restarted }),
         1 => (1..8u32).prop_map(|missing| Step::Snapshot { missing }),
         1 => Just(Step::PollFailed),
     ]
@@ -246,7 +247,7 @@
     }
 }
 
-fn play(steps: &[Step], settings: Settings, seed: u64) -> Vec<String> {
+fn run_steps(steps: &[Step], settings: Settings, seed: u64) -> Vec<String> {
     const OUTCOMES: [Outcome; 8] = [
         Outcome::Served,
         Outcome::Error,
@@ -257,7 +258,7 @@
         Outcome::Cancelled,
         Outcome::NotSent,
     ];
-    let mut check = Checker::new(settings.clone());
+    let mut checker = Checker::new(settings.clone());
     let mut balancer = Balancer::new(0.0, seed, settings);
     let mut now = 0.0;
     let mut timers: Vec<(Time, u64)> = Vec::new();
@@ -270,14 +271,14 @@
     all.push(Step::Wait(5.0));
     for step in all {
         let mut due: Vec<Event<'_>> = Vec::new();
-        let copy;
+        let entries;
         match step {
             Step::Request { class, tenant, key, timeout } => {
                 next += 1;
                 let key = (key > 0).then_some(key);
                 let deadline = now + timeout.max(0.0);
                 let open = ObservedRequest { class, key, deadline, attempts: vec![], is_done: false };
-                check.open.insert(next, open);
+                checker.open.insert(next, open);
                 let id = RequestId(next);
                 due.push(Event::Request(Request {
                     id,
@@ -288,10 +289,10 @@
                     work_estimate: None,
                 }));
             }
-            Step::End { which, outcome } if !outstanding.is_empty() => {
-                let (id, attempt, backend) = outstanding.remove(which % outstanding.len());
-                check.backend_listed_or_used(now, backend);
-                let open = check.open.get_mut(&id).unwrap();
+            Step::End { index, outcome } if !outstanding.is_empty() => {
+                let (id, attempt, backend) = outstanding.remove(index % outstanding.len());
+                checker.backend_listed_or_used(now, backend);
+                let open = checker.open.get_mut(&id).unwrap();
                 open.attempts[attempt].outcome = Some(OUTCOMES[outcome]);
                 open.attempts[attempt].ended_at = now;
                 open.is_done |= OUTCOMES[outcome] == Outcome::Served;
@@ -307,9 +308,9 @@
                     request_done: is_done,
                 }));
             }
-            Step::Disconnect { which } if next > 0 => {
-                let id = 1 + which as u64 % next;
-                check.open.get_mut(&id).unwrap().is_done = true;
+            Step::Disconnect { index } if next > 0 => {
+                let id = 1 + index as u64 % next;
+                checker.open.get_mut(&id).unwrap().is_done = true;
                 due.push(Event::ClientDisconnected(RequestId(id)));
             }
             Step::End { .. } | Step::Disconnect { .. } => {}
@@ -323,59 +324,59 @@
                     now = at.max(now);
                     let mut actions = Vec::new();
                     balancer.handle(now, Event::Timer(token), &mut actions);
-                    apply(&actions, now, &mut check, &mut timers, &mut outstanding);
+                    apply(&actions, now, &mut checker, &mut timers, &mut outstanding);
                 }
                 now = until;
             }
-            Step::Change { which, status, restarted } => {
-                let e = &mut list[which as usize - 1];
+            Step::Change { backend, status, restarted } => {
+                let e = &mut list[backend as usize - 1];
                 e.status =
                     [EndpointStatus::InService, EndpointStatus::Draining, EndpointStatus::Removed][status];
                 e.started_at = restarted.then_some(now);
-                check.list.insert(which, e.clone());
-                check.backend_listed_or_used(now, which);
-                copy = vec![e.clone()];
-                due.push(Event::Endpoints(EndpointUpdate::Changes(&copy)));
+                checker.list.insert(backend, e.clone());
+                checker.backend_listed_or_used(now, backend);
+                entries = vec![e.clone()];
+                due.push(Event::Endpoints(EndpointUpdate::Changes(&entries)));
             }
             Step::Snapshot { missing } => {
-                copy = list.iter().filter(|e| e.id.0 != missing).cloned().collect::<Vec<_>>();
-                check.list.values_mut().for_each(|e| e.status = EndpointStatus::Removed);
-                check.idle_open_since.clear();
-                copy.iter().for_each(|e| {
-                    check.list.insert(e.id.0, e.clone());
-                    check.backend_listed_or_used(now, e.id.0);
+                entries = list.iter().filter(|e| e.id.0 != missing).cloned().collect::<Vec<_>>();
+                checker.list.values_mut().for_each(|e| e.status = EndpointStatus::Removed);
+                checker.idle_open_since.clear();
+                entries.iter().for_each(|e| {
+                    checker.list.insert(e.id.0, e.clone());
+                    checker.backend_listed_or_used(now, e.id.0);
                 });
-                due.push(Event::Endpoints(EndpointUpdate::Snapshot(&copy)));
+                due.push(Event::Endpoints(EndpointUpdate::Snapshot(&entries)));
             }
             Step::PollFailed => due.push(Event::Endpoints(EndpointUpdate::PollFailed)),
         }
         for event in due {
             let mut actions = Vec::new();
             balancer.handle(now, event, &mut actions);
-            apply(&actions, now, &mut check, &mut timers, &mut outstanding);
+            apply(&actions, now, &mut checker, &mut timers, &mut outstanding);
         }
     }
-    check.finish();
+    checker.check_all_answered();
     if balancer.open_requests() > 0 {
-        check.report("state of finished requests is retained".into());
+        checker.report("state of finished requests is retained".into());
     }
-    check.violations
+    checker.violations
 }
 
 fn apply(
     actions: &[Action],
     now: Time,
-    check: &mut Checker,
+    checker: &mut Checker,
     timers: &mut Vec<(Time, u64)>,
     outstanding: &mut Vec<(u64, usize, u32)>,
 ) {
-    check.check_idle_connections(now);
+    checker.check_idle_connections(now);
     for action in actions {
-        check.action(now, action);
+        checker.check_action(now, action);
         match action {
             Action::SetTimer { at, token } => timers.push((*at, *token)),
             Action::Send { id, backend, .. } => {
-                let attempt = check.open.get(&id.0).map_or(0, |o| o.attempts.len() - 1);
+                let attempt = checker.open.get(&id.0).map_or(0, |o| o.attempts.len() - 1);
                 outstanding.push((id.0, attempt, backend.0));
             }
             _ => {}
@@ -392,7 +393,7 @@
         (prop::collection::vec(step(), 1..150), any::<bool>(), any::<bool>(), 0..2usize, any::<u64>());
     runner
         .run(&event_sequences, |(steps, hedged_requests, cancel, tier, seed)| {
-            let violations = play(&steps, settings(hedged_requests, cancel, tier), seed);
+            let violations = run_steps(&steps, settings(hedged_requests, cancel, tier), seed);
             prop_assert!(violations.is_empty(), "{violations:?}");
             Ok(())
         })
@@ -401,20 +402,20 @@
 
 #[test]
 fn the_checker_finds_planted_violations() {
-    let plant = |class: usize, then: &[(Time, Action)]| {
-        let mut check = Checker::new(settings(false, false, 0));
-        check.list.insert(1, EndpointEntry { failure_domain: 1, ..endpoint(1) });
-        check.list.insert(2, EndpointEntry { failure_domain: 2, ..endpoint(2) });
-        check.list.insert(3, EndpointEntry { status: EndpointStatus::Draining, ..endpoint(3) });
+    let plant = |class: usize, actions: &[(Time, Action)]| {
+        let mut checker = Checker::new(settings(false, false, 0));
+        checker.list.insert(1, EndpointEntry { failure_domain: 1, ..endpoint(1) });
+        checker.list.insert(2, EndpointEntry { failure_domain: 2, ..endpoint(2) });
+        checker.list.insert(3, EndpointEntry { status: EndpointStatus::Draining, ..endpoint(3) });
         for id in 1..3 {
-            check.open.insert(
+            checker.open.insert(
                 id,
                 ObservedRequest { class, key: Some(9), deadline: 1.0, attempts: vec![], is_done: id == 2 },
             );
         }
-        then.iter().for_each(|(now, action)| check.action(*now, action));
-        check.finish();
-        check.violations
+        actions.iter().for_each(|(now, action)| checker.check_action(*now, action));
+        checker.check_all_answered();
+        checker.violations
     };
     let id = RequestId(1);
     let send = |to| Action::Send { id, backend: BackendId(to), timeout: 0.5, send_deadline: None };
@@ -436,37 +437,37 @@
     assert_eq!(plant(4, &twice), ["two attempts at once", "keyed request outside its scope or window"]);
     let late = [(0.0, send(1)), (0.5, send(1)), (0.6, Action::Fail { id })];
     assert_eq!(plant(4, &late), ["two attempts at once", "keyed request outside its scope or window"]);
-    // Order: the second request of a key while the first is open, has an outstanding attempt, or just timed
-    // out.
-    let mut check = Checker::new(settings(true, true, 0));
-    check.list.insert(1, endpoint(1));
+    // Ordering: the second request of a key is sent while the first is open, has an outstanding attempt, or
+    // has just timed out.
+    let mut checker = Checker::new(settings(true, true, 0));
+    checker.list.insert(1, endpoint(1));
     for id in 1..3 {
-        check.open.insert(
+        checker.open.insert(
             id,
             ObservedRequest { class: 1, key: Some(9), deadline: 9.0, attempts: vec![], is_done: false },
         );
     }
-    check.action(0.0, &send(1));
+    checker.check_action(0.0, &send(1));
     let second = Action::Send { id: RequestId(2), backend: BackendId(1), timeout: 0.5, send_deadline: None };
-    assert_eq!(check.out_of_order(0.1, 2), Some("order: an earlier request is not done"));
-    check.action(0.2, &Action::Fail { id });
-    assert_eq!(check.out_of_order(0.2, 2), Some("order: an earlier request is not done"));
-    let first = &mut check.open.get_mut(&1).unwrap().attempts[0];
+    assert_eq!(checker.order_violation(0.1, 2), Some("order: an earlier request is not done"));
+    checker.check_action(0.2, &Action::Fail { id });
+    assert_eq!(checker.order_violation(0.2, 2), Some("order: an earlier request is not done"));
+    let first = &mut checker.open.get_mut(&1).unwrap().attempts[0];
     (first.outcome, first.ended_at) = (Some(Outcome::Timeout), 0.3);
-    check.action(0.4, &second);
-    assert_eq!(check.violations, ["order: the quiet period is not over"]);
-    assert_eq!(check.out_of_order(0.51, 2), None);
-    // Idle connections to a draining backend that stay open, after the notice or a later outcome.
-    check.list.insert(1, EndpointEntry { status: EndpointStatus::Draining, ..endpoint(1) });
-    check.backend_listed_or_used(1.0, 1);
-    check.check_idle_connections(1.05);
-    check.action(1.05, &Action::CloseIdleConnections(BackendId(1)));
-    check.check_idle_connections(1.2);
-    assert_eq!(check.violations.len(), 1);
-    check.backend_listed_or_used(1.3, 1);
-    check.check_idle_connections(1.5);
-    assert_eq!(check.violations[1], "drain: connections left open");
-    let refused =
+    checker.check_action(0.4, &second);
+    assert_eq!(checker.violations, ["order: the quiet period is not over"]);
+    assert_eq!(checker.order_violation(0.51, 2), None);
+    // Idle connections to a draining backend stay open after the update of the list or a later outcome.
+    checker.list.insert(1, EndpointEntry { status: EndpointStatus::Draining, ..endpoint(1) });
+    checker.backend_listed_or_used(1.0, 1);
+    checker.check_idle_connections(1.05);
+    checker.check_action(1.05, &Action::CloseIdleConnections(BackendId(1)));
+    checker.check_idle_connections(1.2);
+    assert_eq!(checker.violations.len(), 1);
+    checker.backend_listed_or_used(1.3, 1);
+    checker.check_idle_connections(1.5);
+    assert_eq!(checker.violations[1], "drain: connections left open");
+    let rejected =
         [(0.0, send(1)), (0.6, Action::Reject { id, retry_after: None, reason: Rejection::Overload })];
-    assert!(plant(1, &refused)[0].contains("which may have been executed"));
+    assert!(plant(1, &rejected)[0].contains("which may have been executed"));
 }
