--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The clock whose instants the balancer, the engine and the guard use.
+/// The clock that the balancer, the engine and the guard use. Its times are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -19,23 +19,23 @@
         Self { start: Instant::now(), unix_start }
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Time {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// The time of a Unix time, in seconds. The wall clock is read once, at the start, so the same input has the same
+    /// Converts a Unix time, in seconds. The wall clock is read once, at the start, so the same input has the same
     /// result for as long as the proxy runs.
     pub fn from_unix(&self, unix: Time) -> Time {
         unix - self.unix_start
     }
 
-    /// The time of an instant; 0 for one before the start.
+    /// Converts an instant; an instant before the start is converted to 0.
     pub fn time_of(&self, instant: Instant) -> Time {
         instant.saturating_duration_since(self.start).as_secs_f64()
     }
 
-    /// The instant of a time of this clock; the start for a negative one.
+    /// The instant of a time of this clock; the start if the time is negative.
     pub fn instant_of(&self, time: Time) -> Instant {
         self.start + Duration::try_from_secs_f64(time).unwrap_or_default()
     }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,5 +1,5 @@
-//! The proxy on sockets: it runs the [`Balancer`](crate::Balancer), which makes every decision, between clients,
-//! backends and discovery.
+//! The networked proxy: connects clients, backends and discovery to the [`Balancer`](crate::Balancer), which makes
+//! every decision.
 
 pub mod clock;
 pub mod config;
--- a/src/proxy/server/body.rs
+++ b/src/proxy/server/body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a request, up to a bounded size and time.
+//! Reads the body of a request with a limit on its size and on the time that it takes.
 
 use crate::proxy::upstream::MAX_BODY_BYTES;
 use bytes::{Bytes, BytesMut};
@@ -8,10 +8,10 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// How much of a body that is too large is read and discarded, so that the client reads the answer.
+/// A body that is too large is read and discarded up to this size, so that the client reads the answer.
 pub(super) const MAX_DISCARDED_BYTES: usize = 16 * MAX_BODY_BYTES;
 
-/// Why a body was not read.
+/// Why a body could not be read.
 #[derive(Debug, Error)]
 pub(super) enum BodyError {
     #[error("the body broke off")]
@@ -33,11 +33,11 @@
     }
 }
 
-/// Reads a body. One that is too large is read on for a while and discarded, so that the client has written it when the
-/// answer arrives.
+/// Reads a body. A body that is too large is read and discarded up to [`MAX_DISCARDED_BYTES`], so that the client has
+/// written it when the answer arrives.
 ///
 /// # Errors
-/// Where the body is incomplete, too large, or not complete by the deadline.
+/// Fails if the body is incomplete, too large, or not complete by the deadline.
 pub(super) async fn read_body(body: Incoming, deadline: Instant) -> Result<Bytes, BodyError> {
     let read = tokio::time::timeout_at(deadline, read_bounded(body)).await;
     read.unwrap_or(Err(BodyError::Timeout))
--- a/src/proxy/server/client_connection.rs
+++ b/src/proxy/server/client_connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: whether a request on it is in flight, since when it is idle, and its lingering close.
+//! A client's connection: whether a request is in flight on it, how long it has been idle, and its lingering close.
 
 use super::Server;
 use super::body::MAX_DISCARDED_BYTES;
@@ -11,9 +11,10 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// How long a client may go on sending after the proxy has closed its side, so that it sees the end before a reset.
+/// How long a client may continue to send after the proxy has closed its side, so that the client reads the end of
+/// the stream before it gets a reset.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-/// The same for a connection that makes room for another.
+/// [`LINGER_TIMEOUT`] for an evicted connection.
 const EVICTED_LINGER_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// A client's connection. It is counted as open until it is dropped.
@@ -24,7 +25,7 @@
 }
 
 impl ClientConnection {
-    /// Counts a new connection, which is idle at first.
+    /// Registers a new connection, which is idle at first.
     pub(super) fn open(server: Rc<Server>, stream: TcpStream) -> Self {
         let stream = SharedStream::with_gauge(stream, server.connections.unsent_gauge());
         let state = server.connections.add(stream.clone());
@@ -36,15 +37,16 @@
         self.state.number()
     }
 
-    /// A request on the connection is in flight, from now on. Returns whether it may be served.
+    /// Records that a request on the connection is in flight. Returns whether the request may be served.
     pub(super) fn begin_request(&self) -> bool {
         self.server.connections.request_began(&self.state)
     }
 
-    /// No request on the connection is in flight, from now on. Returns whether the connection is to end with the answer.
+    /// Records that no request on the connection is in flight. Returns whether the connection is closed after the
+    /// answer.
     pub(super) fn end_request(&self) -> bool {
         self.server.connections.request_ended(&self.state);
-        self.server.connections.ends_with_answer(&self.state)
+        self.server.connections.closes_after_answer(&self.state)
     }
 
     /// Whether a request is in flight.
@@ -52,12 +54,12 @@
         self.state.is_busy()
     }
 
-    /// Waits until the connection is to make room for another.
+    /// Waits until the connection is evicted.
     pub(super) async fn evicted(&self) {
         self.state.evicted().await;
     }
 
-    /// Waits until no request has been in flight, and no answer unsent, for this long.
+    /// Waits until no request has been in flight and no answer has been unsent for `timeout`.
     pub(super) async fn idle_for(&self, timeout: Duration) {
         loop {
             let deadline = self.state.idle_since() + timeout;
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Records that the connection is closed now, by either side.
+    /// Records that the connection has been closed, by either side.
     pub(super) fn record_close(&self, reason: CloseReason) {
         metrics::count(CountedEvent::ConnectionClosed(reason));
         let (connection, in_hand) = (self.number(), self.is_busy());
@@ -80,19 +82,20 @@
         }
     }
 
-    /// The connection is to be closed, once what has arrived is answered.
+    /// Marks the connection to be closed after requests that have arrived are answered.
     pub(super) fn begin_closing(&self) {
         self.server.connections.closing_began(&self.state);
     }
 
-    /// Lingering close. The connection is open meanwhile, and lingers no longer where too many are open.
+    /// Does a lingering close. The connection counts as open meanwhile; the close is cut short if too many connections
+    /// are open.
     pub(super) async fn linger(&self, reason: CloseReason) {
         self.server.connections.linger_began(&self.state);
         let is_evicted = reason == CloseReason::Evicted;
         let timeout = if is_evicted { EVICTED_LINGER_TIMEOUT } else { LINGER_TIMEOUT };
         tokio::select! {
             _ = tokio::time::timeout(timeout, self.stream.clone().drain(MAX_DISCARDED_BYTES)) => {}
-            () = self.state.aborted() => {}
+            () = self.state.linger_aborted() => {}
         }
     }
 }
--- a/src/proxy/server/connections.rs
+++ b/src/proxy/server/connections.rs
@@ -1,10 +1,11 @@
-//! The open connections of clients: how many are admitted, which of them makes room for a new one, and whether there is
-//! room for newcomers.
+//! The open connections of clients: how many are admitted, which of them is evicted for a new one, and whether there is
+//! room for new connections.
 //!
-//! At most `max` connections are admitted. A new one beyond that takes the place of one that has carried no request or
-//! has been idle for long; clients may expect every other connection to stay open. Where there is neither, the new one is
-//! not admitted: its request is rejected unless there is room by then. To keep that rare, answers end their connections
-//! while there is little room, so that a place comes free where no request can cross the close.
+//! At most `max` connections are admitted. A new connection beyond that evicts one that has carried no request or has
+//! been idle for long; clients may expect every other connection to stay open. If there is no such connection, the new
+//! one is not admitted: its request is rejected unless there is room when it arrives. To keep that rare, connections
+//! are closed after their answers while there is little room: a place becomes free, and no request can cross the
+//! close.
 
 use crate::proxy::shared_stream::{SharedStream, UnsentGauge};
 use std::cell::{Cell, RefCell};
@@ -14,25 +15,25 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// How long clients may expect a connection to stay open after an answer.
-const MIN_IDLE_TIME: Duration = Duration::from_secs(2);
-/// Of so many places one is reserved for connections that have carried no request.
-const PLACES_PER_RESERVED: usize = 8;
+/// How long clients may expect an idle connection to stay open after an answer.
+const MIN_IDLE_DURATION: Duration = Duration::from_secs(2);
+/// One place in this many is reserved for connections that have carried no request.
+const PLACES_PER_RESERVED_PLACE: usize = 8;
 
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Admitted; no head of a request has arrived completely.
+    /// Admitted; no complete head of a request has arrived.
     AwaitingFirstRequest,
     /// Admitted; a request is in flight.
     Busy,
     /// Admitted; it has carried a request, and the next one may be on its way.
     BetweenRequests,
-    /// Beyond the limit; no head of a request has arrived completely.
+    /// Beyond the limit; no complete head of a request has arrived.
     NotAdmitted,
-    /// To be closed; a request that has arrived in part is answered before, if there is a place for it then.
+    /// To be closed; a request that has partly arrived is answered first, if there is a place for it then.
     Closing,
-    /// Closed by the proxy, and read until its client closes it too.
+    /// Closed by the proxy, and read until the client closes it too.
     Lingering,
 }
 
@@ -40,7 +41,7 @@
     const COUNT: usize = 6;
 }
 
-/// A connection as [`ClientConnections`] knows it.
+/// The state of a connection in [`ClientConnections`].
 pub(super) struct ConnectionState {
     /// Identifies the connection in the log.
     number: u64,
@@ -50,12 +51,12 @@
     key: Cell<u64>,
     /// Whether a request is in flight.
     is_busy: Cell<bool>,
-    /// When its last request was answered, at first when it was accepted.
+    /// When its last request was answered; before that, when it was accepted.
     answered_at: Cell<Instant>,
-    /// Notified when it is to make room for another connection.
+    /// Notified when it is evicted.
     eviction: Notify,
-    /// Notified when it is to linger no longer.
-    abort: Notify,
+    /// Notified when its lingering close is to be cut short.
+    linger_abort: Notify,
 }
 
 impl ConnectionState {
@@ -67,7 +68,7 @@
         self.is_busy.get()
     }
 
-    /// Since when no request has been in flight and no answer unsent; now, while there is one or the other.
+    /// Since when no request has been in flight and no answer has been unsent; the current time while there is either.
     pub(super) fn idle_since(&self) -> Instant {
         if self.is_busy.get() || self.stream.has_unsent_bytes() {
             return Instant::now();
@@ -76,14 +77,14 @@
         self.stream.sent_at().map_or(answered_at, |sent_at| sent_at.max(answered_at))
     }
 
-    /// Waits until the connection is to make room for another.
+    /// Waits until the connection is evicted.
     pub(super) async fn evicted(&self) {
         self.eviction.notified().await;
     }
 
-    /// Waits until the connection is to linger no longer.
-    pub(super) async fn aborted(&self) {
-        self.abort.notified().await;
+    /// Waits until the lingering close is to be cut short.
+    pub(super) async fn linger_aborted(&self) {
+        self.linger_abort.notified().await;
     }
 }
 
@@ -101,13 +102,13 @@
         self.max.saturating_sub(self.awaiting_first_request + self.busy + self.between_requests)
     }
 
-    /// The places that a newcomer can have at once, whatever the connections that have carried requests do.
+    /// The places that new connections can get without closing a connection that has carried a request.
     fn available(self) -> usize {
         self.free() + self.awaiting_first_request
     }
 
     fn reserved(self) -> usize {
-        self.max.div_ceil(PLACES_PER_RESERVED)
+        self.max.div_ceil(PLACES_PER_RESERVED_PLACE)
     }
 }
 
@@ -116,19 +117,19 @@
 
 /// All open connections of clients.
 pub(super) struct ClientConnections {
-    /// The most that are admitted.
+    /// The maximum number of admitted connections.
     max: usize,
-    /// By phase. Connections are open until they leave their queue.
+    /// The connections by phase. A connection is open until it leaves its queue.
     queues: RefCell<[PhaseQueue; Phase::COUNT]>,
-    /// Grows whenever a connection enters a phase.
+    /// Increases whenever a connection enters a phase.
     last_key: Cell<u64>,
     open: Cell<usize>,
     /// The number of connections accepted so far.
     accepted: Cell<u64>,
     /// Notified when a connection is closed.
     closed: Notify,
-    /// Counts the connections with bytes of an answer that the system has not taken yet.
-    unsent: UnsentGauge,
+    /// Counts the connections with bytes of an answer that have not been handed to the system yet.
+    unsent_gauge: UnsentGauge,
     /// Whether idle connections are to be closed.
     is_closing: watch::Sender<bool>,
 }
@@ -142,7 +143,7 @@
             open: Cell::default(),
             accepted: Cell::default(),
             closed: Notify::new(),
-            unsent: UnsentGauge::default(),
+            unsent_gauge: UnsentGauge::default(),
             is_closing: watch::Sender::new(false),
         }
     }
@@ -152,13 +153,13 @@
         self.open.get()
     }
 
-    /// Whether more connections are open than may be, with those that are not admitted or are about to be closed.
-    pub(super) fn exceeds_overflow(&self) -> bool {
+    /// Whether more connections are open than allowed, including those that are not admitted or are about to be closed.
+    pub(super) fn exceeds_max_open(&self) -> bool {
         self.open.get() > self.max_open()
     }
 
-    /// Whether no more connections may be open.
-    pub(super) fn is_at_overflow(&self) -> bool {
+    /// Whether no further connection may be opened.
+    pub(super) fn is_at_max_open(&self) -> bool {
         self.open.get() >= self.max_open()
     }
 
@@ -166,16 +167,16 @@
         self.max + self.max / super::PLACES_PER_OVERFLOW
     }
 
-    /// Whether an answer waits to be taken by the system.
+    /// Whether bytes of an answer have not been handed to the system yet.
     pub(super) fn has_unsent_bytes(&self) -> bool {
-        self.unsent.get() > 0
+        self.unsent_gauge.get() > 0
     }
 
     pub(super) fn unsent_gauge(&self) -> UnsentGauge {
-        self.unsent.clone()
+        self.unsent_gauge.clone()
     }
 
-    /// Counts a new connection, and admits it if there is room or another one can make room.
+    /// Registers a new connection, and admits it if there is room or another connection can be evicted.
     pub(super) fn add(&self, stream: SharedStream) -> Rc<ConnectionState> {
         let is_admitted = self.make_room();
         let phase = if is_admitted { Phase::AwaitingFirstRequest } else { Phase::NotAdmitted };
@@ -189,14 +190,14 @@
             is_busy: Cell::default(),
             answered_at: Cell::new(Instant::now()),
             eviction: Notify::new(),
-            abort: Notify::new(),
+            linger_abort: Notify::new(),
         });
         self.enter(&connection, phase);
         tracing::debug!(connection = connection.number, open = self.open.get(), "connection accepted");
         connection
     }
 
-    /// Stops counting a connection.
+    /// Removes a connection, which is no longer open.
     pub(super) fn remove(&self, connection: &ConnectionState) {
         self.leave(connection);
         self.open.set(self.open.get() - 1);
@@ -208,8 +209,8 @@
         self.closed.notified().await;
     }
 
-    /// The head of a request has arrived on a connection. Returns whether the request may be served: whether the connection
-    /// has a place, now at the latest.
+    /// Records that the head of a request has arrived on a connection. Returns whether the request may be served:
+    /// whether the connection has a place or gets one now.
     pub(super) fn request_began(&self, connection: &Rc<ConnectionState>) -> bool {
         connection.is_busy.set(true);
         let has_place = match connection.phase.get() {
@@ -221,14 +222,14 @@
             tracing::debug!(
                 connection = connection.number,
                 ?occupancy,
-                "no room for the connection of a request"
+                "no room to admit the connection of a request"
             );
         }
         self.enter(connection, if has_place { Phase::Busy } else { Phase::Closing });
         has_place
     }
 
-    /// The request on a connection has its answer.
+    /// Records that the request on a connection has been answered.
     pub(super) fn request_ended(&self, connection: &Rc<ConnectionState>) {
         connection.is_busy.set(false);
         connection.answered_at.set(Instant::now());
@@ -237,40 +238,44 @@
         }
     }
 
-    /// A connection is to be closed, for whatever reason. One without a request in flight needs no place any more.
+    /// Records that a connection is to be closed, for any reason. It releases its place if no request is in flight.
     pub(super) fn closing_began(&self, connection: &Rc<ConnectionState>) {
         if !connection.is_busy() {
             self.enter(connection, Phase::Closing);
         }
     }
 
-    /// A connection is closed, and lingers from now on.
+    /// Records that the proxy has closed a connection, which now lingers.
     pub(super) fn linger_began(&self, connection: &Rc<ConnectionState>) {
         connection.is_busy.set(false);
         self.enter(connection, Phase::Lingering);
     }
 
-    /// Whether a connection is to end with the answer that is sent on it now: it is to be closed anyway, or newcomers need
-    /// its place.
-    pub(super) fn ends_with_answer(&self, connection: &ConnectionState) -> bool {
+    /// Whether a connection is closed after the answer that is sent on it now: because it is to be closed anyway, or
+    /// because new connections need its place.
+    pub(super) fn closes_after_answer(&self, connection: &ConnectionState) -> bool {
         if connection.phase.get() == Phase::Closing {
             return true;
         }
         let occupancy = self.occupancy();
-        let is_short = occupancy.available() < occupancy.reserved();
-        if is_short {
-            tracing::debug!(connection = connection.number, ?occupancy, "the answer ends its connection");
+        let has_little_room = occupancy.available() < occupancy.reserved();
+        if has_little_room {
+            tracing::debug!(
+                connection = connection.number,
+                ?occupancy,
+                "closing the connection after its answer"
+            );
         }
-        is_short
+        has_little_room
     }
 
-    /// Makes room for one more admitted connection; returns whether there is.
+    /// Makes room for one more admitted connection; returns whether there is room.
     fn make_room(&self) -> bool {
         self.occupancy().free() > 0 || self.evict()
     }
 
-    /// Evicts the oldest connection that has carried no request or, where there is none, one that has been idle for so
-    /// long that its client has to expect a close. Returns whether there was one.
+    /// Evicts the oldest connection that has carried no request or, if there is none, one that has been idle for so
+    /// long that its client has to expect a close. Returns whether a connection was evicted.
     fn evict(&self) -> bool {
         let evicted = self.oldest(Phase::AwaitingFirstRequest).or_else(|| self.long_idle());
         if let Some(connection) = &evicted {
@@ -279,11 +284,11 @@
         evicted.is_some()
     }
 
-    /// Has a connection beyond the limit closed at once, without regard to its client: one that is closed already, or one
-    /// that is not admitted and has sent no request.
+    /// Closes a connection beyond the limit at once, even if its client is still sending: a lingering connection or, if
+    /// there is none, one that is not admitted and has sent no request.
     pub(super) fn abort_beyond_limit(&self) {
         if let Some(lingering) = self.oldest(Phase::Lingering) {
-            lingering.abort.notify_one();
+            lingering.linger_abort.notify_one();
         } else if let Some(connection) = self.oldest(Phase::NotAdmitted) {
             self.close(&connection);
         }
@@ -301,13 +306,13 @@
         connection.eviction.notify_one();
     }
 
-    /// A connection between two requests that has been idle for at least [`MIN_IDLE_TIME`].
+    /// A connection between two requests that has been idle for at least [`MIN_IDLE_DURATION`].
     fn long_idle(&self) -> Option<Rc<ConnectionState>> {
         let queues = self.queues.borrow();
         let between_requests = queues[Phase::BetweenRequests as usize].values();
-        let mut answered_long_ago =
-            between_requests.take_while(|connection| connection.answered_at.get().elapsed() >= MIN_IDLE_TIME);
-        answered_long_ago.find(|connection| connection.idle_since().elapsed() >= MIN_IDLE_TIME).cloned()
+        let mut answered_long_ago = between_requests
+            .take_while(|connection| connection.answered_at.get().elapsed() >= MIN_IDLE_DURATION);
+        answered_long_ago.find(|connection| connection.idle_since().elapsed() >= MIN_IDLE_DURATION).cloned()
     }
 
     fn oldest(&self, phase: Phase) -> Option<Rc<ConnectionState>> {
@@ -337,12 +342,12 @@
         self.queues.borrow_mut()[connection.phase.get() as usize].remove(&connection.key.get());
     }
 
-    /// Has idle connections closed, and those in use as soon as they are idle.
+    /// Closes idle connections, and those in use as soon as they are idle.
     pub(super) fn close_idle(&self) {
         self.is_closing.send_replace(true);
     }
 
-    /// Whether idle connections are to be closed, as it changes.
+    /// A watch on whether idle connections are to be closed.
     pub(super) fn closing(&self) -> watch::Receiver<bool> {
         self.is_closing.subscribe()
     }
--- a/src/proxy/server/handler.rs
+++ b/src/proxy/server/handler.rs
@@ -1,4 +1,4 @@
-//! Answers one request: readiness, or an answer of the engine.
+//! Answers one request: with the readiness, or with the engine's answer.
 
 use super::Server;
 use super::body::read_body;
@@ -19,27 +19,27 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// The path that tells whether the proxy is ready for clients.
+/// The path of the readiness check.
 const READINESS_PATH: &str = "/-/ready";
 
-/// The client has closed its connection: nobody waits for the answer.
+/// The client has closed its connection and does not wait for the answer.
 #[derive(Debug, Error)]
 #[error("the client has disconnected")]
 pub(super) struct ClientDisconnected;
 
-/// What a request has in common with its connection.
+/// What the handler needs to know of a request's connection.
 #[derive(Clone, Copy)]
 pub(super) struct RequestContext<'a> {
     /// The number of the connection.
     pub(super) connection: u64,
     pub(super) stream: &'a SharedStream,
-    /// Whether the connection is within the limit; requests on others are rejected.
+    /// Whether the connection is within the limit; otherwise its request is rejected.
     pub(super) is_admitted: bool,
-    /// When the request must be complete.
+    /// When the request must have arrived completely.
     pub(super) read_deadline: Instant,
 }
 
-/// Reports to the engine that the client has disconnected, if dropped before the answer.
+/// Reports to the engine on drop that the client has disconnected; has no effect once the request is answered.
 struct DisconnectGuard<'a> {
     engine: &'a Engine,
     id: RequestId,
@@ -55,7 +55,7 @@
     /// Answers a request.
     ///
     /// # Errors
-    /// Where the client disconnects before its answer.
+    /// Fails if the client disconnects before its answer.
     pub(super) async fn respond(
         &self,
         request: hyper::Request<Incoming>,
@@ -114,7 +114,7 @@
                 return Err(ClientDisconnected);
             }
         };
-        drop(disconnect_guard); // the request has its answer: nothing is reported
+        drop(disconnect_guard); // the request is answered, so no disconnect is reported
         Ok(match answer {
             Ok(Answer::Served(response)) => responses::served(response),
             Ok(Answer::Rejected(retry_after)) => self.rejection("refused, try again\n", retry_after, budget),
--- a/src/proxy/server/lifecycle.rs
+++ b/src/proxy/server/lifecycle.rs
@@ -1,9 +1,9 @@
-//! The life of a client's connection. [`Server::serve_connection`] is the one place that decides when it is closed.
+//! The lifecycle of a client's connection. Only [`Server::serve_connection`] decides when it is closed.
 //!
-//! A connection is closed when its client closes it, when the process shuts down, when it makes room for another, or
-//! when it is idle for too long. In each case a request that has arrived, even in part, is served first: closing the
-//! connection would lose it. While there is little room for new connections it also ends with an answer that says so; what
-//! its client sends behind that answer is not read.
+//! A connection is closed when its client closes it, when the process shuts down, when it is evicted, or when it is
+//! idle for too long. In each case a request that has arrived, even in part, is served first: closing the connection
+//! would lose it. While there is little room for new connections, it is also closed after an answer, which then has
+//! `Connection: close`; what the client sends after that answer is not read.
 
 use super::Server;
 use super::client_connection::ClientConnection;
@@ -23,31 +23,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a connection may be idle, or a head of a request incomplete. A client that sends nothing must see the end
-/// of its connection within 3 s.
+/// How long a connection may be idle, or the head of a request may be incomplete. A client that sends nothing must see
+/// the end of its connection within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
-/// The same for a connection that makes room for another.
+/// [`HEAD_TIMEOUT`] for an evicted connection.
 const EVICTED_HEAD_TIMEOUT: Duration = Duration::from_millis(50);
-/// How long a request may take to be read completely: the first one from when its connection was accepted, later ones
-/// from their head.
+/// How long a request may take to arrive completely: for the first request from when its connection was accepted, for
+/// later ones from when their head has arrived.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2600);
-/// The largest head of a request.
+/// The maximum size of the head of a request.
 const MAX_HEAD_BYTES: usize = 32 << 10;
 
 type Connection<S> = http1::Connection<TokioIo<SharedStream>, S>;
 
-/// A client's connection once all answers so far have been written.
-enum Settled {
+/// The state of a client's connection when all answers so far have been written.
+enum ConnectionStatus {
     /// It has ended.
     Ended,
     /// A request is in flight.
     Busy,
-    /// No complete head of a next request has arrived.
+    /// No complete head of another request has arrived.
     BetweenRequests,
 }
 
-/// How connections are served. The timeouts are kept here: hyper's own would close a connection over a head that has
-/// arrived in part.
+/// The settings for serving connections. This module implements the timeouts: hyper's own would close a connection
+/// although a head has partly arrived.
 fn http() -> http1::Builder {
     let mut http = http1::Builder::new();
     http.header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
@@ -55,7 +55,7 @@
 }
 
 impl Server {
-    /// Serves one request after another, up to the end of the connection; returns why it is closed.
+    /// Serves the requests on a connection, one after another, until it ends; returns why it is closed.
     pub(super) async fn serve_connection(&self, client: &ClientConnection) -> CloseReason {
         let stream = &client.stream;
         let mut closing = self.connections.closing();
@@ -75,7 +75,7 @@
         let mut connection = http().serve_connection(TokioIo::new(stream.clone()), service);
         let reason = tokio::select! {
             biased; // a request that has arrived is read before the connection is closed
-            _ = &mut connection => return CloseReason::ClientClosed, // errors are the client's
+            _ = &mut connection => return CloseReason::ClientClosed, // errors are caused by the client
             _ = closing.wait_for(|is_closing| *is_closing) => CloseReason::ShuttingDown,
             () = client.evicted() => CloseReason::Evicted,
             () = client.idle_for(HEAD_TIMEOUT) => CloseReason::IdleTimeout,
@@ -89,7 +89,7 @@
         if reason == CloseReason::ShuttingDown {
             // The first request on a new connection may be on its way.
             let has_begun = || first_read_deadline.get().is_none();
-            if !first_request_begins(&mut connection, head_deadline, has_begun).await {
+            if !wait_for_first_request(&mut connection, head_deadline, has_begun).await {
                 return reason;
             }
         }
@@ -98,14 +98,14 @@
     }
 }
 
-/// When the last bytes arrived, as far as is known.
+/// When the last bytes arrived; the current time if that is not known.
 fn last_received_at(stream: &SharedStream) -> Instant {
     let read_at = stream.received_at().filter(|_| stream.unread() != Unread::Bytes);
     read_at.unwrap_or_else(Instant::now)
 }
 
 /// Waits until the first request on a connection has begun, up to the deadline; returns whether it has.
-async fn first_request_begins<S>(
+async fn wait_for_first_request<S>(
     connection: &mut Connection<S>,
     deadline: Instant,
     has_begun: impl Fn() -> bool,
@@ -126,7 +126,7 @@
     tokio::time::timeout_at(deadline, first).await.unwrap_or(false)
 }
 
-/// Serves the request that is in flight or has arrived in part, and nothing after it.
+/// Serves the request that is in flight or has partly arrived, and no request after it.
 async fn finish<S>(
     mut connection: Connection<S>,
     client: &ClientConnection,
@@ -135,45 +135,45 @@
 ) where
     S: HttpService<Incoming, ResBody = Full<Bytes>, Error = ClientDisconnected>,
 {
-    match settle(&mut connection, client, stream).await {
-        Settled::Ended => {}
-        Settled::Busy => {
+    match wait_for_flush(&mut connection, client, stream).await {
+        ConnectionStatus::Ended => {}
+        ConnectionStatus::Busy => {
             Pin::new(&mut connection).graceful_shutdown();
-            serve_last(connection, client, stream, head_deadline).await;
+            serve_last_request(connection, client, stream, head_deadline).await;
         }
-        Settled::BetweenRequests => {
+        ConnectionStatus::BetweenRequests => {
             let Parts { read_buf, service, .. } = connection.into_parts();
             if !read_buf.is_empty() || stream.unread() == Unread::Bytes {
-                // A request has arrived in part.
+                // A request has partly arrived.
                 stream.push_back(read_buf);
                 let last = http().keep_alive(false).serve_connection(TokioIo::new(stream.clone()), service);
-                serve_last(last, client, stream, head_deadline).await;
+                serve_last_request(last, client, stream, head_deadline).await;
             }
         }
     }
 }
 
 /// Waits until a connection without a request in flight has written its last answer.
-async fn settle<S>(
+async fn wait_for_flush<S>(
     connection: &mut Connection<S>,
     client: &ClientConnection,
     stream: &SharedStream,
-) -> Settled
+) -> ConnectionStatus
 where
     S: HttpService<Incoming, ResBody = Full<Bytes>, Error = ClientDisconnected>,
 {
     std::future::poll_fn(|cx| match Pin::new(&mut *connection).poll(cx) {
-        Poll::Ready(_) => Poll::Ready(Settled::Ended),
-        Poll::Pending if client.is_busy() => Poll::Ready(Settled::Busy),
+        Poll::Ready(_) => Poll::Ready(ConnectionStatus::Ended),
+        Poll::Pending if client.is_busy() => Poll::Ready(ConnectionStatus::Busy),
         Poll::Pending if stream.has_unsent_bytes() => Poll::Pending,
-        Poll::Pending => Poll::Ready(Settled::BetweenRequests),
+        Poll::Pending => Poll::Ready(ConnectionStatus::BetweenRequests),
     })
     .await
 }
 
-/// Serves the request in flight, or the next one if its head is complete by the deadline, on a connection that ends
-/// after it.
-async fn serve_last<S>(
+/// Serves the request in flight, or the next one if its head is complete by the deadline, on a connection that is
+/// closed after it.
+async fn serve_last_request<S>(
     mut connection: Connection<S>,
     client: &ClientConnection,
     stream: &SharedStream,
@@ -183,6 +183,6 @@
 {
     let ended = tokio::time::timeout_at(head_deadline, &mut connection).await;
     if ended.is_err() && (client.is_busy() || stream.has_unsent_bytes()) {
-        let _ = connection.await; // errors are the client's
+        let _ = connection.await; // errors are caused by the client
     }
 }
--- a/src/proxy/server/mod.rs
+++ b/src/proxy/server/mod.rs
@@ -26,7 +26,8 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// One connection beyond the limit is open, until there is room for it or another needs its place, for so many within it.
+/// For every this many connections within the limit, one beyond the limit may be open, until there is room for it or
+/// another connection is opened instead.
 pub const PLACES_PER_OVERFLOW: usize = 8;
 
 /// Serves clients.
@@ -39,7 +40,7 @@
 }
 
 impl Server {
-    /// A server with at most `max_connections` from clients.
+    /// A server with at most `max_connections` admitted connections from clients.
     pub fn new(
         engine: Rc<Engine>,
         settings: Settings,
@@ -55,7 +56,7 @@
         })
     }
 
-    /// Applies other settings to requests that arrive from now on.
+    /// Applies changed settings to requests that arrive from now on.
     pub fn apply_settings(&self, dynamic: &DynamicSettings) {
         let mut settings = self.settings.borrow_mut();
         for (class, dynamic) in settings.classes.iter_mut().zip(&dynamic.classes) {
@@ -64,7 +65,7 @@
         settings.max_retry_after = dynamic.max_retry_after;
     }
 
-    /// The gauges of the metrics.
+    /// The current values of the gauges.
     pub fn gauges(&self) -> Gauges {
         Gauges {
             client_connections: self.connections.open(),
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Serves clients until `stop` completes, then shuts down gracefully: goes on for a moment, answers every request
-    /// that was received, and returns.
+    /// Serves clients until `stop` completes, then shuts down gracefully: continues to accept clients for a short time,
+    /// answers every request that was received, and returns.
     pub async fn run(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
         let accepting = self.clone().accept(&listener);
         let stopped = async {
--- a/src/proxy/server/request_head.rs
+++ b/src/proxy/server/request_head.rs
@@ -1,4 +1,4 @@
-//! What the headers of a request say: its id, class, tenant and deadline, and which of them are forwarded.
+//! Parses the headers of a request (its id, class, tenant and deadline), and selects those that are forwarded.
 
 use crate::proxy::settings::ProxySettings;
 use crate::{Class, Idempotency, Request, RequestId, Settings, Time};
@@ -18,10 +18,10 @@
 const ORDERING_KEY_COOKIE: &str = "sid";
 /// The length of a request's id, in hexadecimal digits.
 const REQUEST_ID_DIGITS: usize = 16;
-/// Headers of the connection itself, beside those with a constant, which are not forwarded.
-const CONNECTION_HEADERS: [&str; 3] = ["keep-alive", "proxy-connection", "expect"];
+/// The hop-by-hop headers that are not forwarded, beside those with a constant.
+const OTHER_HOP_BY_HOP_HEADERS: [&str; 3] = ["keep-alive", "proxy-connection", "expect"];
 
-/// What is wrong with the headers of a request, as the client is told.
+/// What is wrong with the headers of a request. The text is sent to the client.
 #[derive(Debug, Error)]
 pub(super) enum HeadError {
     #[error("X-Txn: expected 16 hex digits")]
@@ -38,22 +38,22 @@
     NoIdempotencyKey,
 }
 
-/// Reads what the balancer needs to know of a request.
+/// Parses the headers that the balancer needs.
 ///
 /// # Errors
-/// The first header that is missing or malformed.
+/// Names the first header that is missing or malformed.
 pub(super) fn parse(
     headers: &HeaderMap,
-    names: &ProxySettings,
+    proxy_settings: &ProxySettings,
     settings: &Settings,
 ) -> Result<Request, HeadError> {
     let id = header(headers, REQUEST_ID).filter(|id| id.len() == REQUEST_ID_DIGITS);
     let id = id.and_then(|id| u64::from_str_radix(id, 16).ok()).ok_or(HeadError::RequestId)?;
-    let class = header(headers, CLASS).and_then(|name| index_of(&names.classes, name));
+    let class = header(headers, CLASS).and_then(|name| index_of(&proxy_settings.classes, name));
     let class = class.ok_or(HeadError::Class)?;
     let tenant = match header(headers, TENANT) {
-        Some(name) if !names.tenants.is_empty() => {
-            Some(index_of(&names.tenants, name).ok_or(HeadError::Tenant)?)
+        Some(name) if !proxy_settings.tenants.is_empty() => {
+            Some(index_of(&proxy_settings.tenants, name).ok_or(HeadError::Tenant)?)
         }
         _ => None,
     };
@@ -70,7 +70,7 @@
     Ok(Request { id: RequestId(id), class, tenant, key: ordering_key(headers), timeout, work_estimate })
 }
 
-/// The time that the client waits for the answer, in seconds.
+/// How long the client waits for the answer, in seconds.
 fn remaining(headers: &HeaderMap, class: &Class) -> Result<Time, HeadError> {
     if !headers.contains_key(REMAINING_MS) {
         return Ok(class.deadline);
@@ -87,7 +87,7 @@
     names.iter().position(|known| known == name)
 }
 
-/// The ordering key: the cookie `sid` if it is a hexadecimal number, else a hash of it.
+/// The ordering key: the value of the cookie `sid` if it is a hexadecimal number, otherwise its hash.
 fn ordering_key(headers: &HeaderMap) -> Option<u64> {
     let cookies = headers.get_all(COOKIE).into_iter().filter_map(|value| value.to_str().ok());
     let pairs = cookies.flat_map(|value| value.split(';'));
@@ -103,9 +103,9 @@
     text.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
 }
 
-/// The headers that are forwarded to backends: all but those of the connection itself (RFC 9110, section 7.6.1).
+/// The headers that are forwarded to backends: all but the hop-by-hop headers (RFC 9110, section 7.6.1).
 pub(super) fn forwarded(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+    let listed_in_connection: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .into_iter()
         .filter_map(|value| value.to_str().ok())
@@ -113,11 +113,11 @@
         .filter_map(|name| name.trim().parse().ok())
         .filter(|name| *name != HOST)
         .collect();
-    let own = [CONNECTION, CONTENT_LENGTH, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
-    for name in named.iter().chain(&own) {
+    let hop_by_hop = [CONNECTION, CONTENT_LENGTH, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
+    for name in listed_in_connection.iter().chain(&hop_by_hop) {
         headers.remove(name);
     }
-    for name in CONNECTION_HEADERS {
+    for name in OTHER_HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
     headers
--- a/src/proxy/server/responses.rs
+++ b/src/proxy/server/responses.rs
@@ -1,4 +1,4 @@
-//! The answers that clients get.
+//! The answers to clients.
 
 use crate::Time;
 use crate::proxy::upstream::BackendResponse;
@@ -7,9 +7,9 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// How long a client that finds no capacity is asked to wait before it retries, in seconds.
+/// How long a client whose request finds no capacity is asked to wait before it retries, in seconds.
 const OVERLOAD_RETRY_AFTER_S: Time = 1.0;
-/// It is asked to wait for no more than this fraction of the time that it has left, so that the retry is in time.
+/// The longest wait a client is asked for, as a fraction of its remaining time, so that the retry can be in time.
 const MAX_RETRY_AFTER_FRACTION: f64 = 0.5;
 
 /// An answer to a client.
@@ -31,9 +31,9 @@
     response
 }
 
-/// The answer to a request that is rejected. It states when to retry: after `retry_after` seconds if that is given, else
-/// once there may be capacity, where clients are told at all (`max_retry_after` above 0). `remaining` is the time that
-/// the client has left, in seconds.
+/// The answer to a rejected request. Its `Retry-After` header is `retry_after` if that is given, otherwise the time
+/// after which there may be capacity, if `max_retry_after` is above 0. `remaining` is the time that the client has
+/// left. All times are in seconds.
 pub(super) fn rejected(
     line: &'static str,
     retry_after: Option<Time>,
--- a/src/proxy/server/shutdown.rs
+++ b/src/proxy/server/shutdown.rs
@@ -1,7 +1,7 @@
 //! The graceful shutdown, from SIGTERM to the exit of the process.
 //!
-//! The process is killed (SIGKILL) some time after SIGTERM. Until then clients are accepted for a moment, as the load
-//! balancer in front of the proxy notices late, and every request that was received gets its answer.
+//! The process is killed (SIGKILL) some time after SIGTERM. After SIGTERM, clients are accepted for a short time, as
+//! the load balancer in front of the proxy notices the shutdown late. Every request that was received is answered.
 
 use super::Server;
 use crate::Time;
@@ -9,25 +9,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long after SIGTERM clients are accepted at least. Clients go on using their connections while those stay open,
-/// so half of the time for answers is reserved for that.
-const MIN_ACCEPT_TIME: Duration = Duration::from_millis(550);
-/// SIGKILL comes no earlier than this after SIGTERM and the longest deadline of a class.
+/// How long after SIGTERM clients are accepted at least. Clients continue to use their connections while those stay
+/// open, so half of the time for answers is reserved for that.
+const MIN_ACCEPT_DURATION: Duration = Duration::from_millis(550);
+/// SIGKILL comes no earlier than after the longest deadline of a class plus this delay, counted from SIGTERM.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// The longest deadline that delays SIGKILL, in seconds.
 const MAX_KILL_DEADLINE_S: Time = 3.0;
 /// The last answer is sent at least this long before SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
-/// How often it is checked whether the process may exit.
+/// The interval of the checks whether the process may exit.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The process exits over open connections after so many checks in a row without a request in flight.
+/// The process exits despite open connections after this many checks in a row without a request in flight.
 const IDLE_CHECKS_BEFORE_EXIT: usize = 10;
 
-/// How far the shutdown is.
+/// The progress of the shutdown.
 #[derive(Default)]
 pub(super) struct ShutdownState {
     is_draining: Cell<bool>,
-    /// When no client waits for an answer any more.
+    /// When the last client stops waiting for its answer.
     clients_gone_at: Cell<Option<Instant>>,
 }
 
@@ -37,15 +37,15 @@
         self.is_draining.get()
     }
 
-    fn clients_wait(&self) -> bool {
+    fn has_waiting_clients(&self) -> bool {
         self.clients_gone_at.get().is_none_or(|gone_at| Instant::now() <= gone_at)
     }
 }
 
 impl Server {
-    /// Begins the shutdown: sets when every request must have its answer, and returns when no more clients are accepted.
+    /// Begins the shutdown: sets the deadline for all answers, and returns when no more clients are to be accepted.
     pub(super) async fn drain(&self) {
-        // A process that was suspended reads the signal late, and SIGKILL counts from when it was sent.
+        // A suspended process reads SIGTERM late, but the time until SIGKILL counts from when SIGTERM was sent.
         let signal_sent_at = Instant::now() - self.engine.recent_stall();
         let longest_deadline = self.longest_deadline();
         let kill_after = seconds(longest_deadline.min(MAX_KILL_DEADLINE_S)) + KILL_DELAY;
@@ -56,7 +56,7 @@
         self.shutdown.clients_gone_at.set(Some(clients_gone_at));
         tracing::info!(answers_within = answer_time.as_secs_f64(), "shutting down");
         eprintln!("linkhatch-proxy: shutting down");
-        tokio::time::sleep_until(signal_sent_at + MIN_ACCEPT_TIME.max(answer_time / 2)).await;
+        tokio::time::sleep_until(signal_sent_at + MIN_ACCEPT_DURATION.max(answer_time / 2)).await;
     }
 
     /// The longest deadline of a class, in seconds.
@@ -64,22 +64,24 @@
         self.settings.borrow().classes.iter().map(|class| class.deadline).fold(0.0, Time::max)
     }
 
-    /// Waits until no connection is open, or none of those left has had a request in flight or an unsent answer for a
-    /// while: a client that neither completes its request nor disconnects must not delay the exit until SIGKILL. The
-    /// process never exits while an answer is owed, which would lose the request; SIGKILL may come later than expected.
+    /// Waits until no connection is open, or none of the open ones has had a request in flight or an unsent answer for
+    /// a while: a client that neither completes its request nor disconnects must not delay the exit until SIGKILL. The
+    /// process never exits while an answer is pending, which would lose the request; SIGKILL may come later than
+    /// expected.
     pub(super) async fn wait_until_answered(&self) {
         let mut idle_checks = 0;
         while self.connections.open() > 0 && idle_checks < IDLE_CHECKS_BEFORE_EXIT {
             let _ = tokio::time::timeout(EXIT_CHECK_INTERVAL, self.connections.wait_for_close()).await;
-            let may_exit = self.engine.guard().may_exit(self.owes_answers(), self.shutdown.clients_wait());
+            let may_exit =
+                self.engine.guard().may_exit(self.has_pending_answers(), self.shutdown.has_waiting_clients());
             idle_checks = if may_exit { idle_checks + 1 } else { 0 };
         }
-        self.engine.guard().process_exits(self.owes_answers(), self.shutdown.clients_wait());
+        self.engine.guard().process_exits(self.has_pending_answers(), self.shutdown.has_waiting_clients());
         tracing::info!(connections = self.connections.open(), "exiting");
     }
 
-    /// Whether requests have no answer yet, or one that the system has not taken.
-    fn owes_answers(&self) -> bool {
+    /// Whether requests have no answer yet, or one that has not been handed to the system.
+    fn has_pending_answers(&self) -> bool {
         self.engine.owes_answers() || self.connections.has_unsent_bytes()
     }
 }
--- a/src/proxy/shared_stream.rs
+++ b/src/proxy/shared_stream.rs
@@ -1,8 +1,8 @@
-//! A TCP stream with two owners: hyper, which reads and writes it, and the proxy, which observes it meanwhile.
+//! A TCP stream with two owners: hyper reads and writes it, and the proxy observes it.
 //!
-//! The proxy asks whether bytes lie unread, whether the peer has closed the connection, and whether all that was
-//! written has been handed to the system. It can also give back bytes that hyper read too far, and drain the
-//! connection before it closes it.
+//! The proxy can check whether there are unread bytes, whether the peer has closed the connection, and whether all
+//! written bytes have been handed to the system. It can also put back bytes that hyper has read but not used, and drain
+//! the connection before closing it.
 
 use crate::os::sockets::{Failure, Socket, classify, retry_interrupted};
 use bytes::Bytes;
@@ -19,35 +19,36 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// How often a connection with unread bytes is checked for its end: the runtime reports no end behind unread bytes.
+/// How often a connection with unread bytes is checked for its end: the runtime does not report an end that follows
+/// unread bytes.
 const END_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// The size of the buffer for discarded bytes.
 const DRAIN_BUFFER_BYTES: usize = 4096;
 
-/// What the system has received on a connection and this process has not read.
+/// What the system has received on a connection and this process has not read yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
     /// Nothing.
     Nothing,
     /// Bytes.
     Bytes,
-    /// The end of the connection, closed by the peer.
+    /// The end of the connection: the peer has closed it.
     End,
-    /// The end of the connection, which broke.
+    /// The end of the connection: it has failed.
     Broken,
 }
 
-/// The number of connections with bytes that were written and not yet handed to the system.
+/// The number of connections with bytes that were written but not yet handed to the system.
 pub type UnsentGauge = Rc<Cell<usize>>;
 
 struct Inner {
     socket: RefCell<Socket>,
-    /// Bytes that were given back, to be read again first.
+    /// Bytes that were put back, to be read before new ones.
     pushed_back: RefCell<Bytes>,
     has_read_end: Cell<bool>,
     has_unsent_bytes: Cell<bool>,
-    /// When all that had been written was last handed to the system.
+    /// When the last of the written bytes was handed to the system.
     sent_at: Cell<Option<Instant>>,
     /// When bytes were last read from the system.
     received_at: Cell<Option<Instant>>,
@@ -55,7 +56,7 @@
     unsent_gauge: UnsentGauge,
 }
 
-/// A handle of a shared TCP stream; clones are handles of the same stream.
+/// A handle to a shared TCP stream; clones are handles to the same stream.
 #[derive(Clone)]
 pub struct SharedStream(Rc<Inner>);
 
@@ -78,7 +79,7 @@
         }))
     }
 
-    /// Gives back bytes that were read too far: they are read again before anything else.
+    /// Puts back bytes that were read but not used: they are read again before anything else.
     pub fn push_back(&self, bytes: Bytes) {
         self.0.pushed_back.replace(bytes);
     }
@@ -88,12 +89,12 @@
         self.0.has_read_end.get()
     }
 
-    /// Whether some of what was written has not been handed to the system yet.
+    /// Whether some of the written bytes have not been handed to the system yet.
     pub fn has_unsent_bytes(&self) -> bool {
         self.0.has_unsent_bytes.get()
     }
 
-    /// When all that had been written was last handed to the system.
+    /// When the last of the written bytes was handed to the system.
     pub fn sent_at(&self) -> Option<Instant> {
         self.0.sent_at.get()
     }
@@ -103,20 +104,20 @@
         self.0.received_at.get()
     }
 
-    /// What lies unread now, according to the system; the runtime may not know it yet.
+    /// What is unread now, according to the system; the runtime may not have noticed it yet.
     pub fn unread(&self) -> Unread {
         let socket = self.0.socket.borrow();
         classify_peek(peek(socket.stream()))
     }
 
-    /// The same for a stream that the runtime considers readable; clears its readiness if nothing lies unread.
+    /// The same for a stream that the runtime considers readable; clears its readiness if nothing is unread.
     fn unread_clearing_readiness(&self) -> Unread {
         let socket = self.0.socket.borrow();
         classify_peek(socket.stream().try_io(Interest::READABLE, || peek(socket.stream())))
     }
 
-    /// A function that tells whether the peer has disconnected: whether the connection is closed here, or its end lies
-    /// unread. The function does not keep the connection open.
+    /// A function that returns whether the peer has disconnected: whether the connection is closed here, or its end has
+    /// been received. The function does not keep the connection open.
     pub fn disconnect_check(&self) -> impl Fn() -> bool + 'static {
         let inner = Rc::downgrade(&self.0);
         move || {
@@ -125,14 +126,14 @@
         }
     }
 
-    /// Completes once the peer has closed or reset the connection, even if bytes lie unread before that end: hyper reads
-    /// no further than the beginning of a next request, so it would not notice.
+    /// Completes once the peer has closed or reset the connection, even if there are unread bytes before that end:
+    /// hyper reads no further than the beginning of the next request, so it would not notice.
     pub async fn closed_by_peer(&self) {
         loop {
             let readable = poll_fn(|cx| self.0.socket.borrow().stream().poll_read_ready(cx)).await;
             let unread = self.unread_clearing_readiness();
             let ended = matches!(unread, Unread::End | Unread::Broken);
-            if readable.is_err() || ended || self.read_closed() {
+            if readable.is_err() || ended || self.is_read_closed() {
                 return;
             }
             if unread == Unread::Bytes {
@@ -141,27 +142,27 @@
         }
     }
 
-    /// Whether the system has reported the end, possibly behind unread bytes.
-    fn read_closed(&self) -> bool {
+    /// Whether the system has reported the end, possibly after unread bytes.
+    fn is_read_closed(&self) -> bool {
         let socket = self.0.socket.borrow();
         let ready =
             pin!(socket.stream().ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Shuts down sending, then reads and discards up to `max_bytes`, or up to the peer's end. A close with unread bytes
-    /// would reset the connection, and what was written last would be lost (RFC 9112, section 9.6).
+    /// Shuts down sending, then reads and discards up to `max_bytes`, or until the peer closes. Closing with unread
+    /// bytes would reset the connection, and the last written bytes would be lost (RFC 9112, section 9.6).
     pub async fn drain(mut self, max_bytes: usize) {
-        self.0.set_unsent(false); // what hyper has not written is not written any more
+        self.0.set_unsent(false); // bytes that hyper has not written are never written
         if self.0.has_read_end.get() {
             return;
         }
-        // An error means that the peer is gone, which reading reports too.
+        // An error means that the peer has disconnected, which reading reports too.
         let _ = SockRef::from(self.0.socket.borrow().stream()).shutdown(std::net::Shutdown::Write);
-        let (mut left, mut buffer) = (max_bytes, [0; DRAIN_BUFFER_BYTES]);
+        let (mut remaining_bytes, mut buffer) = (max_bytes, [0; DRAIN_BUFFER_BYTES]);
         while let Ok(read @ 1..) = self.read(&mut buffer).await {
-            left = left.saturating_sub(read);
-            if left == 0 {
+            remaining_bytes = remaining_bytes.saturating_sub(read);
+            if remaining_bytes == 0 {
                 return;
             }
         }
@@ -174,7 +175,7 @@
     retry_interrupted(|| socket.peek(&mut [MaybeUninit::uninit()]))
 }
 
-/// What the result of [`peek`] means.
+/// Translates the result of [`peek`].
 fn classify_peek(peeked: io::Result<usize>) -> Unread {
     match peeked {
         Ok(0) => Unread::End,
