--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A balancer with a clock and timers, driven step by step, and the settings and checks that tests share.
-#![allow(dead_code, reason = "each test program that includes this uses a part of it")]
+//! A balancer with a simulated clock and timers, and the settings and checks that tests share.
+#![allow(dead_code, reason = "each test program that includes this module uses a part of it")]
 
 use linkhatch_proxy::*;
 use std::collections::BTreeMap;
@@ -15,12 +15,12 @@
     }
 }
 
-/// One class of idempotent requests, at an inner tier.
+/// Settings with one class of idempotent requests, at an inner tier.
 pub fn idempotent_settings() -> Settings {
     Settings { classes: vec![class(Idempotency::Idempotent)], tier: 1, ..Settings::default() }
 }
 
-/// One class of requests, at an inner tier.
+/// Settings with one class of requests, at an inner tier.
 pub fn settings_for(idempotency: Idempotency) -> Settings {
     Settings { classes: vec![class(idempotency)], tier: 1, ..Settings::default() }
 }
@@ -35,7 +35,7 @@
     pub now: Time,
     /// When each timer fires, and its token.
     pub timers: Vec<(Time, u64)>,
-    /// The backends of the attempts of each request.
+    /// The backends to which the attempts of each request were sent.
     pub sent_to: BTreeMap<u64, Vec<u32>>,
 }
 
@@ -72,7 +72,7 @@
         further
     }
 
-    /// Handles an event now. Timers are set, all other actions returned.
+    /// Handles an event at the current time. Sets timers and returns all other actions.
     pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.inner.handle(self.now, event, &mut actions);
@@ -99,20 +99,20 @@
         self.event(Event::Request(request))
     }
 
-    /// Advances the clock to `until` and fires the timers that are due.
+    /// Advances the clock to `until` and fires the timers that are due; returns the actions with their times.
     pub fn run_to(&mut self, until: Time) -> Vec<(Time, Action)> {
-        let mut seen = Vec::new();
-        while let Some(next) = (0..self.timers.len())
+        let mut actions = Vec::new();
+        while let Some(next_timer) = (0..self.timers.len())
             .filter(|i| self.timers[*i].0 <= until)
             .min_by(|a, b| self.timers[*a].0.total_cmp(&self.timers[*b].0))
         {
-            let (at, token) = self.timers.remove(next);
+            let (at, token) = self.timers.remove(next_timer);
             self.now = self.now.max(at);
             let now = self.now;
-            seen.extend(self.event(Event::Timer(token)).into_iter().map(|a| (now, a)));
+            actions.extend(self.event(Event::Timer(token)).into_iter().map(|a| (now, a)));
         }
         self.now = until;
-        seen
+        actions
     }
 
     pub fn end_attempt(
@@ -133,7 +133,7 @@
         }))
     }
 
-    /// A request that is served after `elapsed`; returns its backend.
+    /// Submits a request and serves it after `elapsed` seconds; returns its backend.
     pub fn serve(&mut self, id: u64, elapsed: Time) -> u32 {
         let actions = self.request(id);
         let (_, backend) = attempts_sent(&actions)[0];
--- a/tests/proxy_answers.rs
+++ b/tests/proxy_answers.rs
@@ -1,4 +1,4 @@
-//! Golden checks of what the proxy says itself: its own HTTP answers byte for byte, and the fields of its log.
+//! Golden checks of the proxy's own output: its own HTTP answers byte for byte, and the fields of its log.
 //! Clients and operators' tools depend on both.
 
 use serde_json::{Value, json};
@@ -25,7 +25,7 @@
     Hang,
 }
 
-/// Starts a backend, and returns where it listens.
+/// Starts a backend, and returns its address.
 fn backend(behavior: Behavior) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -75,7 +75,7 @@
     })
 }
 
-/// The configuration of a proxy before one backend, or none.
+/// The configuration of a proxy with one backend or none.
 fn config(settings: Value, backend: Option<SocketAddr>) -> Value {
     let entry = |address: SocketAddr| {
         json!({"instanceId": "s-0", "hostPort": address.to_string(), "zone": "a", "machineType": "m",
@@ -83,12 +83,12 @@
     };
     let instances: Vec<Value> = backend.into_iter().map(entry).collect();
     json!({"name": "n0", "seed": "8c1f30d27a5be964", "limits": {"sockets": 1024}, "settings": settings,
-           "discovery": backend_that_hangs().to_string(),
+           "discovery": hanging_discovery().to_string(),
            "known": {"generation": 1, "reset": true, "instances": instances}})
 }
 
-/// A discovery that takes calls and never answers.
-fn backend_that_hangs() -> SocketAddr {
+/// Starts a discovery service that accepts calls and never answers; returns its address.
+fn hanging_discovery() -> SocketAddr {
     backend(Behavior::Hang)
 }
 
@@ -117,7 +117,7 @@
         Self { child, address: address.parse().unwrap(), log, config: path }
     }
 
-    fn before(backend: Option<SocketAddr>) -> Self {
+    fn with_backend(backend: Option<SocketAddr>) -> Self {
         Self::start(&config(settings(), backend), None)
     }
 
@@ -127,7 +127,7 @@
         stream
     }
 
-    fn ask(&self, text: &str) -> String {
+    fn exchange(&self, text: &str) -> String {
         let mut stream = self.connect();
         stream.write_all(text.as_bytes()).unwrap();
         read_answer(&mut stream)
@@ -146,7 +146,7 @@
     }
 }
 
-/// One answer as it came, without its `date`.
+/// Reads one answer, unchanged except that its `date` header is removed.
 fn read_answer(stream: &mut TcpStream) -> String {
     let mut answer = Vec::new();
     let mut byte = [0];
@@ -160,12 +160,12 @@
     let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
     let mut body = vec![0; length.map_or(0, |length| length.parse().unwrap())];
     stream.read_exact(&mut body).unwrap();
-    let is_kept = |line: &&str| !line.starts_with("date: ");
-    let head: String = head.split_inclusive("\r\n").filter(is_kept).collect();
+    let is_stable = |line: &&str| !line.starts_with("date: ");
+    let head: String = head.split_inclusive("\r\n").filter(is_stable).collect();
     head + &String::from_utf8(body).unwrap()
 }
 
-/// An answer of these lines, the last of which is the body's.
+/// The answer that consists of `lines`, the last of which is the body.
 fn golden(lines: &[&str]) -> String {
     let (body, head) = lines.split_last().unwrap();
     format!("{}\r\n\r\n{body}\n", head.join("\r\n"))
@@ -180,27 +180,27 @@
     )
 }
 
-const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n";
+const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n";
 
 #[test]
 fn readiness_answers_are_stable() {
-    let ready = Proxy::before(Some(backend(Behavior::Serve))).ask(READY);
+    let ready = Proxy::with_backend(Some(backend(Behavior::Serve))).exchange(READINESS_REQUEST);
     assert_eq!(ready, golden(&["HTTP/1.1 200 OK", "content-length: 6", "ready"]));
-    let not_ready = Proxy::before(None).ask(READY);
+    let not_ready = Proxy::with_backend(None).exchange(READINESS_REQUEST);
     assert_eq!(not_ready, golden(&["HTTP/1.1 503 Service Unavailable", "content-length: 10", "not ready"]));
 }
 
 #[test]
-fn a_served_answer_carries_the_body_and_its_content_type_alone() {
-    let proxy = Proxy::before(Some(backend(Behavior::Serve)));
-    let answer = proxy.ask(&request("look"));
+fn a_served_answer_has_only_the_body_and_its_content_type() {
+    let proxy = Proxy::with_backend(Some(backend(Behavior::Serve)));
+    let answer = proxy.exchange(&request("look"));
     let head = "HTTP/1.1 200 OK\r\ncontent-type: text/x-test\r\ncontent-length: 5\r\n\r\n";
     assert_eq!(answer, format!("{head}hello"));
 }
 
 #[test]
 fn answers_to_bad_requests_are_stable() {
-    let proxy = Proxy::before(Some(backend(Behavior::Serve)));
+    let proxy = Proxy::with_backend(Some(backend(Behavior::Serve)));
     for (class, from, to, length, text) in [
         ("look", "X-Txn: 0", "X-Txn: ", "content-length: 30", "X-Txn: expected 16 hex digits"),
         ("look", "X-Txn: 0", "X-Txn: g", "content-length: 30", "X-Txn: expected 16 hex digits"),
@@ -228,44 +228,44 @@
             "the body broke off",
         ),
     ] {
-        let answer = proxy.ask(&request(class).replace(from, to));
+        let answer = proxy.exchange(&request(class).replace(from, to));
         assert_eq!(answer, golden(&["HTTP/1.1 400 Bad Request", length, text]), "{to}");
     }
     let repeated = request("look");
-    assert!(proxy.ask(&repeated).starts_with("HTTP/1.1 200 OK\r\n"));
+    assert!(proxy.exchange(&repeated).starts_with("HTTP/1.1 200 OK\r\n"));
     assert_eq!(
-        proxy.ask(&repeated),
+        proxy.exchange(&repeated),
         golden(&["HTTP/1.1 400 Bad Request", "content-length: 21", "X-Txn: has been used"])
     );
-    let not_http = proxy.ask("nonsense\r\n\r\n");
+    let not_http = proxy.exchange("nonsense\r\n\r\n");
     assert_eq!(not_http, "HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
 }
 
 #[test]
 fn answers_to_bodies_that_are_too_large_or_too_late_are_stable() {
-    let proxy = Proxy::before(Some(backend(Behavior::Serve)));
+    let proxy = Proxy::with_backend(Some(backend(Behavior::Serve)));
     let large = format!("Content-Length: 65537\r\n\r\n{}", "x".repeat(65_537));
     assert_eq!(
-        proxy.ask(&request("look").replace("Content-Length: 4\r\n\r\nbody", &large)),
+        proxy.exchange(&request("look").replace("Content-Length: 4\r\n\r\nbody", &large)),
         golden(&["HTTP/1.1 413 Payload Too Large", "content-length: 22", "the body is too large"])
     );
     assert_eq!(
-        proxy.ask(&request("look").replace("Content-Length: 4\r\n", "Content-Length: 40\r\n")),
+        proxy.exchange(&request("look").replace("Content-Length: 4\r\n", "Content-Length: 40\r\n")),
         golden(&["HTTP/1.1 408 Request Timeout", "content-length: 22", "the body did not come"])
     );
 }
 
 #[test]
 fn the_answer_to_a_request_that_may_have_run_is_stable() {
-    let proxy = Proxy::before(Some(backend(Behavior::Close)));
+    let proxy = Proxy::with_backend(Some(backend(Behavior::Close)));
     assert_eq!(
-        proxy.ask(&request("order")),
+        proxy.exchange(&request("order")),
         golden(&["HTTP/1.1 502 Bad Gateway", "content-length: 7", "failed"])
     );
 }
 
 #[test]
-fn rejections_name_a_retry_after_where_that_is_allowed() {
+fn rejections_have_a_retry_after_header_if_that_is_allowed() {
     for allowed in [true, false] {
         let mut settings = settings();
         settings["caps"]["max-open"] = json!(0);
@@ -274,7 +274,7 @@
         let mut lines = vec!["HTTP/1.1 503 Service Unavailable", "retry-after: 0.500", "content-length: 19"];
         lines.retain(|line| allowed || !line.starts_with("retry-after"));
         lines.push("refused, try again");
-        assert_eq!(proxy.ask(&request("look")), golden(&lines));
+        assert_eq!(proxy.exchange(&request("look")), golden(&lines));
     }
 }
 
@@ -288,7 +288,7 @@
     for stream in &mut busy {
         stream.write_all(request("order").as_bytes()).unwrap();
     }
-    // All of them are read before the next connection is accepted.
+    // All of these requests are read before the next connection is accepted.
     std::thread::sleep(Duration::from_millis(300));
     let mut stream = proxy.connect();
     stream.write_all(request("look").as_bytes()).unwrap();
@@ -305,7 +305,7 @@
     assert_eq!(stream.read(&mut [0]).unwrap(), 0);
 }
 
-/// The level and the fields of a log line, beside its time, target and message.
+/// The level of a log line, and its fields except time, target and message.
 fn shape(line: &Value) -> String {
     let fields = line.as_object().unwrap().keys().map(String::as_str);
     let common = ["timestamp", "level", "target", "message"];
@@ -313,12 +313,12 @@
     format!("{} {}", line["level"].as_str().unwrap(), own.into_iter().collect::<Vec<_>>().join(","))
 }
 
-/// The values of a field, over all lines.
+/// The values of a field in all lines.
 fn values<'a>(lines: &'a [Value], field: &str) -> BTreeSet<&'a str> {
     lines.iter().filter_map(|line| line[field].as_str()).collect()
 }
 
-/// Reads the log until a line contains `text`; the JSON lines so far are added to `lines`.
+/// Reads the log until a line contains `text`; adds the JSON lines that were read to `lines`.
 fn read_log_until(proxy: &mut Proxy, lines: &mut Vec<Value>, text: &str) {
     let deadline = Instant::now() + TIMEOUT;
     loop {
@@ -338,28 +338,28 @@
     let mut config = config(settings, Some(backend(Behavior::Hang)));
     let mut proxy = Proxy::start(&config, Some("debug"));
     let mut lines = Vec::new();
-    // One request in flight, one rejected, and the first one's client disconnects.
+    // One request is in flight and one is rejected; then the first one's client disconnects.
     let mut first = proxy.connect();
     first.write_all(request("order").as_bytes()).unwrap();
     read_log_until(&mut proxy, &mut lines, "\"attempt\":0");
-    assert!(proxy.ask(&request("look")).starts_with("HTTP/1.1 503"));
+    assert!(proxy.exchange(&request("look")).starts_with("HTTP/1.1 503"));
     drop(first);
     read_log_until(&mut proxy, &mut lines, "Cancelled");
-    // Discovery moves to one that is not there, and to one that answers with a list.
-    let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let closing = backend(Behavior::Close);
-    for discovery in [closed, list_of(closing)] {
+    // Discovery moves to a closed port, and then to a service that answers with a list.
+    let closed_port = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let closing_backend = backend(Behavior::Close);
+    for discovery in [closed_port, discovery_with_list(closing_backend)] {
         config["discovery"] = json!(discovery.to_string());
         std::fs::write(&proxy.config, config.to_string()).unwrap();
         proxy.signal("-HUP");
         read_log_until(&mut proxy, &mut lines, "linkhatch-proxy: discovery is at");
-        let next = if discovery == closed { "\"failures\":" } else { "\"revision\":" };
+        let next = if discovery == closed_port { "\"failures\":" } else { "\"revision\":" };
         read_log_until(&mut proxy, &mut lines, next);
     }
-    assert!(proxy.ask(&request("order")).starts_with("HTTP/1.1 502"));
-    // It is told to stop while a connection is idle.
+    assert!(proxy.exchange(&request("order")).starts_with("HTTP/1.1 502"));
+    // The proxy is stopped while a connection is idle.
     let mut idle = proxy.connect();
-    idle.write_all(READY.as_bytes()).unwrap();
+    idle.write_all(READINESS_REQUEST.as_bytes()).unwrap();
     read_answer(&mut idle);
     proxy.signal("-TERM");
     let mut rest = String::new();
@@ -387,8 +387,8 @@
     assert_eq!(values(&lines, "outcome"), ["Cancelled", "Reset"].into());
 }
 
-/// Starts a discovery whose list has one backend, and returns where it listens.
-fn list_of(backend: SocketAddr) -> SocketAddr {
+/// Starts a discovery service whose list has one backend, and returns its address.
+fn discovery_with_list(backend: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let entry =
@@ -404,7 +404,7 @@
     address
 }
 
-/// Answers the first call; later ones wait for changes, of which there are none.
+/// Answers the first call; later calls wait for changes, which never come.
 fn serve_list(mut stream: TcpStream, answer: &str) {
     let mut received = Vec::new();
     let mut buffer = [0; 4096];
