--- a/src/proxy/server/lifecycle.rs
+++ b/src/proxy/server/lifecycle.rs
@@ -48,10 +48,10 @@
 
 /// The settings for serving connections. This module implements the timeouts: hyper's own would close a connection
 /// although a head has partly arrived.
-fn http() -> http1::Builder {
-    let mut http = http1::Builder::new();
-    http.header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
-    http
+fn http_builder() -> http1::Builder {
+    let mut http_builder = http1::Builder::new();
+    http_builder.header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
+    http_builder
 }
 
 impl Server {
@@ -72,7 +72,7 @@
             }
             Ok::<_, ClientDisconnected>(response)
         });
-        let mut connection = http().serve_connection(TokioIo::new(stream.clone()), service);
+        let mut connection = http_builder().serve_connection(TokioIo::new(stream.clone()), service);
         let reason = tokio::select! {
             biased; // a request that has arrived is read before the connection is closed
             _ = &mut connection => return CloseReason::ClientClosed, // errors are caused by the client
@@ -146,8 +146,9 @@
             if !read_buf.is_empty() || stream.unread() == Unread::Bytes {
                 // A request has partly arrived.
                 stream.push_back(read_buf);
-                let last = http().keep_alive(false).serve_connection(TokioIo::new(stream.clone()), service);
-                serve_last_request(last, client, stream, head_deadline).await;
+                let last_connection =
+                    http_builder().keep_alive(false).serve_connection(TokioIo::new(stream.clone()), service);
+                serve_last_request(last_connection, client, stream, head_deadline).await;
             }
         }
     }
--- a/src/proxy/server/shutdown.rs
+++ b/src/proxy/server/shutdown.rs
@@ -28,7 +28,7 @@
 pub(super) struct ShutdownState {
     is_draining: Cell<bool>,
     /// When the last client stops waiting for its answer.
-    clients_gone_at: Cell<Option<Instant>>,
+    last_client_deadline: Cell<Option<Instant>>,
 }
 
 impl ShutdownState {
@@ -38,7 +38,7 @@
     }
 
     fn has_waiting_clients(&self) -> bool {
-        self.clients_gone_at.get().is_none_or(|gone_at| Instant::now() <= gone_at)
+        self.last_client_deadline.get().is_none_or(|deadline| Instant::now() <= deadline)
     }
 }
 
@@ -52,8 +52,8 @@
         let answer_time = kill_after - KILL_MARGIN;
         self.shutdown.is_draining.set(true);
         self.engine.begin_shutdown(signal_sent_at + answer_time);
-        let clients_gone_at = signal_sent_at + seconds(longest_deadline) + KILL_DELAY;
-        self.shutdown.clients_gone_at.set(Some(clients_gone_at));
+        let last_client_deadline = signal_sent_at + seconds(longest_deadline) + KILL_DELAY;
+        self.shutdown.last_client_deadline.set(Some(last_client_deadline));
         tracing::info!(answers_within = answer_time.as_secs_f64(), "shutting down");
         eprintln!("linkhatch-proxy: shutting down");
         tokio::time::sleep_until(signal_sent_at + MIN_ACCEPT_DURATION.max(answer_time / 2)).await;
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -41,7 +41,7 @@
 impl TestServer {
     async fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).await.unwrap();
-        stream.set_nodelay(true).unwrap(); // else the system delays bytes by its own clock, which is not paused
+        stream.set_nodelay(true).unwrap(); // else the system delays bytes by its own clock, which runs on
         sleep(SHORT_DELAY).await;
         stream
     }
@@ -56,7 +56,7 @@
             stream.write_all(request(number, path, "").as_bytes()).await.unwrap();
             match path == FAST_PATH {
                 true => assert!(read_until(&mut stream, b"ok\n").await.contains(" 200 ")),
-                false => sleep(SLOW_REQUEST_DURATION / 150).await, // the engine rejects no request at this rate
+                false => sleep(SLOW_REQUEST_DURATION / 150).await, // the engine rejects none at this rate
             }
             clients.push(stream);
         }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -20,20 +20,20 @@
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Runs `scenario` with the address of a server with one class and no backends.
-async fn with_server<F: Future>(connections: usize, scenario: impl FnOnce(SocketAddr) -> F) -> F::Output {
-    with_backend(None, Class::default(), connections, std::future::pending(), scenario).await
+async fn with_server<F: Future>(max_connections: usize, scenario: impl FnOnce(SocketAddr) -> F) -> F::Output {
+    with_backend(None, Class::default(), max_connections, std::future::pending(), scenario).await
 }
 
 /// The same with one backend, if any, and a shutdown when `stop` completes.
 async fn with_backend<F: Future>(
     backend: Option<SocketAddr>,
     class: Class,
-    connections: usize,
+    max_connections: usize,
     stop: impl Future<Output = ()> + 'static,
     scenario: impl FnOnce(SocketAddr) -> F,
 ) -> F::Output {
     let listener = server::bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    with_listener(listener, Rc::default(), backend, class, connections, stop, scenario).await
+    with_listener(listener, Rc::default(), backend, class, max_connections, stop, scenario).await
 }
 
 /// The same on the given listener; `ended` is set when the server has returned, which is when the process exits.
@@ -42,7 +42,7 @@
     ended: Rc<Cell<bool>>,
     backend: Option<SocketAddr>,
     class: Class,
-    connections: usize,
+    max_connections: usize,
     stop: impl Future<Output = ()> + 'static,
     scenario: impl FnOnce(SocketAddr) -> F,
 ) -> F::Output {
@@ -63,7 +63,7 @@
                 backend.map(|address| ListedEndpoint { entry: EndpointEntry::default(), address });
             engine.apply_watch_event(WatchEvent::Cached(endpoints.into_iter().collect()));
             let address = listener.local_addr().unwrap();
-            let server = Server::new(engine, settings, proxy_settings, connections);
+            let server = Server::new(engine, settings, proxy_settings, max_connections);
             tokio::task::spawn_local(async move {
                 server.run(listener, stop).await;
                 ended.set(true);
