--- a/src/proxy/engine/attempts.rs
+++ b/src/proxy/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts in flight: sent by the balancer's decision, ended by their outcome, a timeout or a cancellation.
+//! The attempts in flight: sent when the balancer decides so, ended by their outcome, a timeout or a cancellation.
 
 use super::timers::TimerKey;
 use super::{Answer, Engine, QueuedEvent, State};
@@ -16,13 +16,13 @@
 pub(super) struct PlannedAttempt {
     pub(super) id: RequestId,
     pub(super) backend: BackendId,
-    /// How long to wait for the response, in seconds; 0: up to the request's deadline.
+    /// How long to wait for the response, in seconds; 0 means until the request's deadline.
     pub(super) timeout: Time,
-    /// It must not start later.
+    /// The latest time at which it may be sent.
     pub(super) send_deadline: Option<Time>,
 }
 
-/// An attempt that was sent, or waits for its connection.
+/// An attempt that was sent or is waiting for its connection.
 struct InFlightAttempt {
     backend: BackendId,
     forwarded: Rc<ForwardedRequest>,
@@ -47,7 +47,7 @@
 }
 
 impl Engine {
-    /// Starts an attempt, or reports to the balancer that it was not sent.
+    /// Starts an attempt, or reports to the balancer that it cannot be sent.
     pub(super) fn send_attempt(&self, state: &mut State, planned: PlannedAttempt, now: Time) {
         let PlannedAttempt { id, backend, timeout, send_deadline } = planned;
         let endpoint = state.endpoints.get(backend);
@@ -86,10 +86,10 @@
         self.decide(state);
     }
 
-    /// Reports the end of an attempt to the balancer, once, and gives the client the first response.
+    /// Reports the end of an attempt to the balancer, only once, and sends the client the first response.
     pub(super) fn end_attempt(&self, state: &mut State, id: RequestId, number: usize, result: AttemptResult) {
         let Some(attempt) = state.attempts.0.remove(&(id, number)) else {
-            return; // it has ended before
+            return; // it has already ended
         };
         attempt.task.abort();
         let AttemptResult { outcome, response } = result;
@@ -115,7 +115,7 @@
     }
 }
 
-/// Reports that an attempt can't be sent.
+/// Reports to the balancer that an attempt cannot be sent.
 fn drop_attempt(state: &mut State, id: RequestId, backend: BackendId) {
     let attempt = state.requests.attempts_sent(id);
     let reason = DropReason::NotInFlight;
--- a/src/proxy/engine/endpoints.rs
+++ b/src/proxy/engine/endpoints.rs
@@ -1,4 +1,4 @@
-//! The table of the backends' endpoints, and what a watch event changes in it.
+//! The table of the backends' endpoints, and how watch events change it.
 
 use crate::proxy::settings::ProxySettings;
 use crate::proxy::upstream::{ConnectionBudget, Endpoint};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The fraction of a backend's grace period after which an attempt that was decided on before is not sent any more.
+/// The fraction of a backend's grace period after which attempts that were planned earlier are no longer sent to it.
 const SEND_GRACE_FRACTION: f64 = 0.5;
 
 /// The endpoints of all listed backends, and of removed ones with attempts in flight.
@@ -17,7 +17,7 @@
     budget: Rc<ConnectionBudget>,
     connect_timeout: Duration,
     idle_close: Duration,
-    /// How long after its announcement a draining or removed backend may still get attempts, in seconds.
+    /// How long a backend may still receive attempts after it is announced as draining or removed, in seconds.
     drain_grace: Time,
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Applies an event of the watch; returns the endpoints that it lists.
+    /// Applies a watch event; returns the endpoints that it lists.
     pub(super) fn apply<'a>(&mut self, event: &'a WatchEvent, now: Time) -> &'a [ListedEndpoint] {
         let listed: &[ListedEndpoint] = match event {
             WatchEvent::Snapshot(list) | WatchEvent::Cached(list) => {
@@ -83,8 +83,8 @@
     }
 
     fn update(&mut self, ListedEndpoint { entry, address }: &ListedEndpoint, now: Time) {
-        let is_leaving = entry.status != EndpointStatus::InService;
-        let send_cutoff = is_leaving.then_some(now + SEND_GRACE_FRACTION * self.drain_grace);
+        let is_out_of_service = entry.status != EndpointStatus::InService;
+        let send_cutoff = is_out_of_service.then_some(now + SEND_GRACE_FRACTION * self.drain_grace);
         let new = || {
             let budget = self.budget.clone();
             Rc::new(Endpoint::new(*address, budget, self.connect_timeout, self.idle_close))
--- a/src/proxy/engine/in_flight.rs
+++ b/src/proxy/engine/in_flight.rs
@@ -1,4 +1,4 @@
-//! The requests in flight: those that wait for their final answer.
+//! The requests in flight, which wait for their final answer.
 
 use super::Answer;
 use crate::proxy::forwarded_request::ForwardedRequest;
@@ -7,7 +7,8 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// How many ids of finished requests are remembered: those of the last seconds, whose attempts may still run.
+/// The maximum number of finished requests whose ids are stored. It covers the last seconds, as their attempts may
+/// still be running.
 const MAX_FINISHED_IDS: usize = 4096;
 
 /// A request that waits for its final answer.
@@ -15,12 +16,12 @@
     pub(super) received_at: Time,
     pub(super) answer: oneshot::Sender<Answer>,
     pub(super) forwarded: Rc<ForwardedRequest>,
-    /// When the engine answers by itself.
+    /// When the engine answers if the balancer has not.
     pub(super) deadline: Time,
     pub(super) attempts_sent: usize,
 }
 
-/// The ids of the last requests that were finished, the oldest first.
+/// The ids of the requests that finished last, oldest first.
 #[derive(Default)]
 struct FinishedIds {
     order: VecDeque<RequestId>,
@@ -40,7 +41,7 @@
     }
 }
 
-/// All requests in flight, and the ids of those before.
+/// All requests in flight, and the ids of recently finished ones.
 #[derive(Default)]
 pub(super) struct InFlightRequests {
     requests: HashMap<RequestId, InFlightRequest>,
@@ -60,7 +61,7 @@
         self.requests.contains_key(&id)
     }
 
-    /// Whether the id is that of a request in flight, or of one that was finished recently.
+    /// Whether the id belongs to a request in flight or to a recently finished one.
     pub(super) fn is_known(&self, id: RequestId) -> bool {
         self.contains(id) || self.finished.ids.contains(&id)
     }
@@ -73,12 +74,12 @@
         self.requests.get_mut(&id)
     }
 
-    /// The number of attempts that were sent for a request; 0 if it is not in flight.
+    /// The number of attempts sent for a request; 0 if it is not in flight.
     pub(super) fn attempts_sent(&self, id: RequestId) -> usize {
         self.requests.get(&id).map_or(0, |request| request.attempts_sent)
     }
 
-    /// Moves later deadlines to this one; returns the requests that were concerned.
+    /// Shortens all later deadlines to `deadline`; returns the ids of the requests that this changed.
     pub(super) fn limit_deadlines(&mut self, deadline: Time) -> Vec<RequestId> {
         let mut limited = Vec::new();
         for (id, request) in &mut self.requests {
@@ -90,14 +91,14 @@
         limited
     }
 
-    /// Gives a request its final answer, if it is in flight.
+    /// Sends a request its final answer, if it is in flight.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
         if let Some(request) = self.finish(id) {
             let _ = request.answer.send(answer); // if the client has disconnected, its drop guard reports that
         }
     }
 
-    /// Removes a request: attempts of it that still wait for a connection are not sent any more.
+    /// Removes a request. Its attempts that still wait for a connection are no longer sent.
     pub(super) fn finish(&mut self, id: RequestId) -> Option<InFlightRequest> {
         let request = self.requests.remove(&id)?;
         self.finished.add(id);
--- a/src/proxy/engine/mod.rs
+++ b/src/proxy/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Connects the [`Balancer`] with the sockets: events become calls of the balancer, and its actions become I/O.
+//! Connects the [`Balancer`] to the sockets: events become calls of the balancer, and its actions become I/O.
 //!
 //! The engine owns the clock, the timers, the requests in flight, their attempts and the endpoints. Every request gets
 //! exactly one final answer: the balancer's, or the engine's own at the deadline.
@@ -33,30 +33,30 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 
-/// Time reserved for an answer to reach the client, in seconds. The balancer answers this long before the client's
-/// deadline, and the engine at half of it if the balancer has not.
+/// The time reserved for an answer to reach the client, in seconds. The balancer answers this long before the client's
+/// deadline; if it has not, the engine answers half of this time before the deadline.
 const ANSWER_TRANSIT_S: Time = 0.006;
-/// The longest timer lag that is deducted from the time of a request, in seconds.
+/// The longest timer lag that is deducted from the timeout of a request, in seconds.
 const MAX_LAG_S: Time = 0.1;
-/// The part of the last timer lag that still counts after the next timers.
+/// The factor by which the recorded timer lag decays each time that timers fire.
 const LAG_DECAY: f64 = 0.8;
-/// Neither deduction exceeds this fraction of the deadline of the request's class, so that requests with a short
-/// deadline keep most of their time.
-const MAX_ALLOWANCE_FRACTION: f64 = 0.1;
-/// The time after the start at which a proxy without an endpoint list becomes ready nevertheless, in seconds.
+/// The largest deduction, for transit or for timer lag, as a fraction of the deadline of the request's class. It leaves
+/// requests with a short deadline most of their time.
+const MAX_DEDUCTION_FRACTION: f64 = 0.1;
+/// How long after its start a proxy becomes ready even without an endpoint list, in seconds.
 const LIST_TIMEOUT_S: Time = 5.0;
 
 /// The final answer to a request.
 pub enum Answer {
     /// The response of a backend.
     Served(BackendResponse),
-    /// The request was not executed and may be retried, after this many seconds if stated.
+    /// The request was not executed and may be retried, after this many seconds if given.
     Rejected(Option<Time>),
-    /// The request failed, and may have been executed.
+    /// The request failed and may have been executed.
     Failed,
 }
 
-/// An event that waits for the balancer. It owns what it refers to.
+/// An event queued for the balancer. It owns its data.
 enum QueuedEvent {
     Event(Event<'static>),
     Watch(WatchEvent),
@@ -96,15 +96,15 @@
     }
 }
 
-/// The last round of the maintenance task, which shows whether the process was suspended.
+/// The last run of the maintenance loop, which shows whether the process was suspended.
 #[derive(Clone, Copy)]
-struct Heartbeat {
+struct MaintenanceRun {
     at: Time,
-    /// The time since the round before, in seconds.
+    /// The time since the previous run, in seconds.
     since_last: Time,
 }
 
-/// What the balancer decides on, and the balancer itself.
+/// The balancer, and the state that its actions change.
 struct State {
     balancer: Balancer,
     events: VecDeque<QueuedEvent>,
@@ -114,20 +114,20 @@
     endpoints: EndpointTable,
 }
 
-/// Called when the balancer wants discovery to be polled.
+/// Called when the balancer requests a poll of discovery.
 type PollDiscovery = Box<dyn Fn()>;
 
-/// Runs the balancer.
+/// Runs the balancer: delivers events to it and performs its actions.
 pub struct Engine {
     weak_self: Weak<Engine>,
     state: RefCell<State>,
     clock: Clock,
     /// Notified when a timer is set that fires before all others.
     earliest_timer_changed: Notify,
-    /// How late timers have fired recently, in seconds: as long may a request have waited to be read.
+    /// How late timers fired recently, in seconds. A request may have waited that long before it was read.
     timer_lag: Cell<Time>,
-    heartbeat: Cell<Heartbeat>,
-    /// Set during shutdown: every request has its answer by then.
+    last_maintenance: Cell<MaintenanceRun>,
+    /// Set during shutdown: every request is answered by then.
     shutdown_deadline: Cell<Option<Time>>,
     has_list: Cell<bool>,
     poll_discovery: RefCell<Option<PollDiscovery>>,
@@ -144,8 +144,8 @@
 }
 
 impl Engine {
-    /// Starts an engine with a balancer of its own; its timers run on the current `LocalSet`. At most `max_connections`
-    /// to backends are open at once.
+    /// Starts an engine with its own balancer; its timers run on the current `LocalSet`. At most `max_connections`
+    /// connections to backends are open at the same time.
     pub fn start(
         settings: Settings,
         proxy_settings: &ProxySettings,
@@ -159,7 +159,7 @@
             clock,
             earliest_timer_changed: Notify::new(),
             timer_lag: Cell::new(0.0),
-            heartbeat: Cell::new(Heartbeat { at: clock.now(), since_last: 0.0 }),
+            last_maintenance: Cell::new(MaintenanceRun { at: clock.now(), since_last: 0.0 }),
             shutdown_deadline: Cell::new(None),
             has_list: Cell::new(false),
             poll_discovery: RefCell::default(),
@@ -185,7 +185,7 @@
         engine
     }
 
-    /// The clock of the balancer.
+    /// The clock whose time the balancer uses.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
@@ -195,7 +195,7 @@
         &self.guard
     }
 
-    /// The number of requests without an answer.
+    /// The number of requests without a final answer.
     pub fn requests_in_flight(&self) -> usize {
         self.state.borrow().requests.len()
     }
@@ -205,22 +205,22 @@
         self.connection_budget.open()
     }
 
-    /// Sets what is called when the balancer wants discovery to be polled.
+    /// Sets a callback that runs when the balancer requests a poll of discovery.
     pub fn on_poll_discovery(&self, poll: impl Fn() + 'static) {
         *self.poll_discovery.borrow_mut() = Some(Box::new(poll));
     }
 
-    /// Sets what is called before every decision, so that no decision is made by settings that have expired.
+    /// Sets a callback that runs before every decision, so that no decision uses expired settings.
     pub fn before_decision(&self, refresh: impl Fn() + 'static) {
         *self.before_decision.borrow_mut() = Some(Box::new(refresh));
     }
 
-    /// Sets what adds headers to every attempt as it is sent.
+    /// Sets a callback that adds headers to every attempt as it is sent.
     pub fn set_header_stamp(&self, stamp: impl Fn(&mut HeaderMap) + 'static) {
         *self.header_stamp.borrow_mut() = Some(Rc::new(stamp));
     }
 
-    /// Applies other settings and another position in the fleet from now on.
+    /// Replaces the settings and the position in the fleet.
     pub fn apply_settings(&self, settings: DynamicSettings, position: Option<FleetPosition>) {
         self.max_attempts.set(settings.max_attempts);
         self.class_deadlines.replace(settings.classes.iter().map(|class| class.deadline).collect());
@@ -229,7 +229,7 @@
         self.decide(state);
     }
 
-    /// The state to decide in, once the settings are refreshed.
+    /// Borrows the state for a decision, after refreshing the settings.
     fn state(&self) -> RefMut<'_, State> {
         if let Some(refresh) = self.before_decision.borrow().as_ref() {
             refresh();
@@ -237,8 +237,8 @@
         self.state.borrow_mut()
     }
 
-    /// Whether there is an endpoint list, or none is waited for any longer: while discovery is down, clients are better
-    /// rejected by a proxy that is ready than kept waiting for one that never is.
+    /// Whether there is an endpoint list, or the wait for one is over: while discovery is down, a ready proxy that
+    /// rejects clients is better than one that never becomes ready.
     pub fn has_list(&self) -> bool {
         self.has_list.get() || self.clock.now() >= LIST_TIMEOUT_S
     }
@@ -250,12 +250,13 @@
     }
 
     /// Whether there are requests without a final answer.
-    pub fn owes_answers(&self) -> bool {
+    pub fn has_requests_in_flight(&self) -> bool {
         !self.state.borrow().requests.is_empty()
     }
 
-    /// Submits a request whose client waits for `request.timeout` seconds. The receiver gets the answer within that time.
-    /// Returns `None` if the id was used before: a backend that still knows the id would answer for the other request.
+    /// Submits a request whose client waits for `request.timeout` seconds. The receiver gets the answer within that
+    /// time. Returns `None` if the id was used recently: a backend that remembers it would return the response to the
+    /// other request.
     pub fn submit(
         &self,
         mut request: Request,
@@ -268,19 +269,19 @@
             let reason = Rejection::TooManyRequests;
             metrics::count(CountedEvent::RequestRejected(reason));
             tracing::debug!(id = %request.id, reason = reason.label(), "rejected");
-            let _ = answer.send(Answer::Rejected(None)); // the receiver is still here
+            let _ = answer.send(Answer::Rejected(None)); // the receiver exists
             return Some(receiver);
         }
         if state.requests.is_known(request.id) {
             return None;
         }
         let now = self.clock.now();
-        // The client has waited since it sent the request, so for as long as the request lay unread too.
-        request.timeout -= self.allowance(request.class, self.timer_lag.get());
+        // The client's timeout started when it sent the request, so it includes the time until the request was read.
+        request.timeout -= self.limit_deduction(request.class, self.timer_lag.get());
         if let Some(shutdown_deadline) = self.shutdown_deadline.get() {
             request.timeout = request.timeout.min(shutdown_deadline - now);
         }
-        let answer_transit = self.allowance(request.class, ANSWER_TRANSIT_S);
+        let answer_transit = self.limit_deduction(request.class, ANSWER_TRANSIT_S);
         let deadline = now + request.timeout - 0.5 * answer_transit;
         request.timeout -= answer_transit;
         let forwarded = Rc::new(forwarded);
@@ -292,7 +293,7 @@
         Some(receiver)
     }
 
-    /// Begins the shutdown: every request, those in flight included, has its final answer by the deadline.
+    /// Begins the shutdown: every request, including those in flight, has its final answer by the deadline.
     pub fn begin_shutdown(&self, deadline: Instant) {
         let deadline = self.clock.time_of(deadline);
         self.shutdown_deadline.set(Some(deadline));
@@ -305,20 +306,20 @@
         self.decide(state);
     }
 
-    /// How long this process was just suspended; a signal that is read now may have been sent that long ago.
+    /// How long this process was recently suspended. A signal that is read now may have been sent that long ago.
     pub fn recent_stall(&self) -> Duration {
-        let Heartbeat { at, since_last } = self.heartbeat.get();
-        let silence = since_last.max(self.clock.now() - at);
-        Duration::try_from_secs_f64(silence).unwrap_or_default().saturating_sub(self.maintenance_interval)
+        let MaintenanceRun { at, since_last } = self.last_maintenance.get();
+        let gap = since_last.max(self.clock.now() - at);
+        Duration::try_from_secs_f64(gap).unwrap_or_default().saturating_sub(self.maintenance_interval)
     }
 
-    /// What may be deducted from the time of a request of this class, out of `wanted` seconds.
-    fn allowance(&self, class: usize, wanted: Time) -> Time {
+    /// Limits a deduction, in seconds, from the timeout of a request of this class.
+    fn limit_deduction(&self, class: usize, deduction: Time) -> Time {
         let deadline = self.class_deadlines.borrow().get(class).copied();
-        deadline.map_or(wanted, |deadline| wanted.min(MAX_ALLOWANCE_FRACTION * deadline))
+        deadline.map_or(deduction, |deadline| deduction.min(MAX_DEDUCTION_FRACTION * deadline))
     }
 
-    /// The client of a request has disconnected. Nothing happens if the request has its answer.
+    /// Handles the disconnect of a request's client. Does nothing if the request already has its answer.
     pub fn client_disconnected(&self, id: RequestId) {
         let mut state = self.state();
         if state.requests.finish(id).is_some() {
@@ -327,12 +328,12 @@
         }
     }
 
-    /// Applies an event of the watch on the endpoint list.
+    /// Applies an event from the watch on the endpoint list.
     pub fn apply_watch_event(&self, event: WatchEvent) {
         let mut state = self.state();
         let listed = state.endpoints.apply(&event, self.clock.now());
         tracing::debug!(entries = listed.len(), known = state.endpoints.len(), "endpoint list applied");
-        // An answer of discovery is a list even if no backend in it is in service.
+        // A response from discovery counts as a list even if none of its backends is in service.
         let is_answer = matches!(&event, WatchEvent::Snapshot(_) | WatchEvent::Changes(_));
         let has_backend = listed.iter().any(|listed| listed.entry.status == EndpointStatus::InService);
         self.has_list.set(self.has_list.get() || is_answer || has_backend);
@@ -381,7 +382,8 @@
         loop {
             tokio::time::sleep(self.maintenance_interval).await;
             let now = self.clock.now();
-            self.heartbeat.set(Heartbeat { at: now, since_last: now - self.heartbeat.get().at });
+            self.last_maintenance
+                .set(MaintenanceRun { at: now, since_last: now - self.last_maintenance.get().at });
             let endpoints = self.state.borrow().endpoints.all();
             endpoints.iter().for_each(|endpoint| endpoint.evict_expired());
         }
--- a/src/proxy/engine/timers.rs
+++ b/src/proxy/engine/timers.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Timers in the order in which they fire; those of one time, in the order in which they were set.
+/// Timers in the order in which they fire. Timers for the same time fire in the order in which they were set.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     timers: BinaryHeap<Reverse<(OrderedTime, u64, TimerKey)>>,
@@ -108,7 +108,7 @@
                 let outcome = if is_written { Outcome::Timeout } else { Outcome::ConnectFailed };
                 self.end_attempt(state, id, attempt, outcome.into());
             }
-            // The balancer has not answered in time: the client must get an answer nevertheless.
+            // The balancer has not answered in time, but the client must still get an answer.
             TimerKey::Request(id) => {
                 if state.requests.contains(id) {
                     state.requests.answer(id, Answer::Failed);
--- a/src/proxy/server/shutdown.rs
+++ b/src/proxy/server/shutdown.rs
@@ -82,7 +82,7 @@
 
     /// Whether requests have no answer yet, or one that has not been handed to the system.
     fn has_pending_answers(&self) -> bool {
-        self.engine.owes_answers() || self.connections.has_unsent_bytes()
+        self.engine.has_requests_in_flight() || self.connections.has_unsent_bytes()
     }
 }
 
--- a/src/proxy/upstream/attempt.rs
+++ b/src/proxy/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt on a backend, from its connection to its exact outcome.
+//! One attempt on a backend, from connecting to its exact outcome.
 
 use super::MAX_BODY_BYTES;
 use super::connection::UpstreamConnection;
@@ -18,7 +18,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A backend sets this header to `1` on the answer to a request that it rejected without executing it.
+/// A backend sets this header to `1` in the response to a request that it rejected without executing it.
 const REJECTED_HEADER: &str = "x-turned-away";
 
 /// A successful response of a backend.
@@ -43,19 +43,19 @@
     }
 }
 
-/// The bounds of an attempt in time.
+/// The time limits of an attempt, and its number.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptLimits {
     /// When it is cancelled.
     pub deadline: Time,
-    /// It must not start later.
+    /// The latest time at which it may be sent.
     pub send_deadline: Option<Time>,
     /// Its number among the attempts of its request.
     pub number: usize,
 }
 
 /// Sends one attempt and waits for its outcome. `is_written` is set as soon as any of the request may have been
-/// written: from then on the request may be executed although the connection breaks, which is reported as a reset.
+/// written: from then on the request may be executed even if the connection breaks, which is reported as a reset.
 pub async fn send_attempt(
     endpoint: Rc<Endpoint>,
     request: Rc<ForwardedRequest>,
@@ -69,8 +69,10 @@
     }
 }
 
+/// Runs the attempt up to its complete response.
+///
 /// # Errors
-/// The outcome of an attempt that had no complete response.
+/// The outcome of an attempt without a complete response.
 async fn exchange(
     endpoint: &Rc<Endpoint>,
     request: &ForwardedRequest,
@@ -85,7 +87,7 @@
             Ok(send_permit) => send_permit,
             Err(Invariant::Drain) => return Err(Outcome::ConnectFailed),
             Err(_) => {
-                // The connection serves another request.
+                // The connection can serve another request.
                 endpoint.store((upstream, permit), epoch, false);
                 return Err(Outcome::NotSent);
             }
@@ -93,7 +95,7 @@
         is_written.set(true);
         match upstream.send_permitted(request, send_permit, clock).await {
             Some(Ok(response)) => break ((upstream, permit), response),
-            // Returned unsent: the connection had ended before any of it was written.
+            // The request was returned unsent: the connection had ended before any of it was written.
             Some(Err(error)) if error.message().is_some() => is_written.set(false),
             _ => return Err(Outcome::Reset),
         }
@@ -101,7 +103,7 @@
     read_response(endpoint, connection, epoch, response).await
 }
 
-/// A connection for the attempt.
+/// Acquires a connection for the attempt.
 async fn connect(
     endpoint: &Rc<Endpoint>,
     request: &ForwardedRequest,
@@ -116,8 +118,8 @@
     })
 }
 
-/// Asks the guard for permission: what held when the attempt was decided on may not hold any more, since its
-/// connection took time.
+/// Requests the guard's permission to send: the conditions under which the attempt was planned may have changed while
+/// its connection was established.
 fn admit(
     endpoint: &Endpoint,
     request: &ForwardedRequest,
--- a/src/proxy/upstream/budget.rs
+++ b/src/proxy/upstream/budget.rs
@@ -1,28 +1,28 @@
-//! The connections to all backends together: how many may be open, and how long they may be idle.
+//! Limits for the connections to all backends: how many may be open, and how long they may be idle.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A non-idempotent request goes on a connection that has been idle for less than this fraction of the shortest time
-/// after which a backend was seen to close one. Backends may close idle connections before their limit, and a request
-/// that crosses the close is lost.
+/// A non-idempotent request is only sent on a connection that has been idle for less than this fraction of the shortest
+/// idle time after which a backend closed one. Backends may close idle connections before their idle timeout, and a
+/// request that is sent while the backend closes the connection is lost.
 const NON_IDEMPOTENT_REUSE_FRACTION: f64 = 0.5;
 
 /// The budget of connections to backends.
 pub struct ConnectionBudget {
     open: Cell<usize>,
     max: usize,
-    /// The shortest time that a connection was idle before its backend closed it. One value for all backends: those of
-    /// a tier are alike, and each proxy rarely uses its connections to most of them.
+    /// The shortest time that a connection was idle before its backend closed it. There is one value for all backends,
+    /// since those of a tier behave alike and each proxy rarely uses its connections to most of them.
     shortest_idle_lifetime: Cell<Duration>,
 }
 
-/// The part of one connection in the budget.
+/// A permit for one open connection; dropping it returns it to the budget.
 pub(super) struct ConnectionPermit(Rc<ConnectionBudget>);
 
 impl ConnectionBudget {
-    /// A budget of `max` open connections.
+    /// Returns a budget of `max` open connections.
     pub fn new(max: usize) -> Rc<Self> {
         Rc::new(Self { open: Cell::new(0), max, shortest_idle_lifetime: Cell::new(Duration::MAX) })
     }
@@ -37,7 +37,7 @@
         self.open.get()
     }
 
-    /// A permit for one more connection, unless the budget is full.
+    /// Returns a permit for one more connection, or `None` if the budget is full.
     pub(super) fn acquire(self: &Rc<Self>) -> Option<ConnectionPermit> {
         (!self.is_full()).then(|| {
             self.open.set(self.open.get() + 1);
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Whether a connection that was idle for so long may carry a non-idempotent request.
+    /// Whether a connection that has been idle for `idle` may carry a non-idempotent request.
     pub(super) fn may_carry_non_idempotent(&self, idle: Duration, recent_use: Duration) -> bool {
         idle < recent_use
             || idle.as_secs_f64()
@@ -54,7 +54,7 @@
 }
 
 impl ConnectionPermit {
-    /// Records that a backend closed a connection that had been idle for so long.
+    /// Records that a backend closed a connection that had been idle for `idle`.
     pub(super) fn record_idle_lifetime(&self, idle: Duration) {
         let shortest = &self.0.shortest_idle_lifetime;
         shortest.set(shortest.get().min(idle));
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -18,14 +18,14 @@
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
-/// A connection. It reads and writes only while its owner waits on it, so dropping it ends both at once.
+/// A connection. It reads and writes only while its owner awaits one of its methods, so dropping it stops both at once.
 pub struct UpstreamConnection {
     sender: http1::SendRequest<Full<Bytes>>,
     driver: Driver,
     stream: SharedStream,
 }
 
-/// The part of hyper that reads and writes the connection.
+/// Hyper's connection future, which does the reading and writing.
 struct Driver {
     connection: Pin<Box<http1::Connection<TokioIo<SharedStream>, Full<Bytes>>>>,
     end: Option<ConnectionEnd>,
@@ -36,17 +36,17 @@
 pub enum ConnectionEnd {
     /// One side closed it.
     Closed,
-    /// It broke, as when the other machine or process is gone, or bytes arrived on it that no request had asked for.
+    /// It broke, for example because the other machine or process is gone, or unsolicited bytes arrived on it.
     Broken,
 }
 
-/// A request that could not be sent, or failed. It has the request if none of it was written.
+/// The error of a request that was not sent or failed. It contains the request if none of it was written.
 pub type SendError = TrySendError<Request<Full<Bytes>>>;
 
-/// Connects.
+/// Opens a connection to a server.
 ///
 /// # Errors
-/// That of the system, or a timeout.
+/// The system's error, or a timeout.
 pub async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<UpstreamConnection> {
     let stream = tokio::time::timeout(timeout, sockets::connect(address)).await??;
     let stream = SharedStream::new(stream);
@@ -57,12 +57,12 @@
 }
 
 impl UpstreamConnection {
-    /// Drives the connection until `future` completes; `None` if the connection ends before.
+    /// Drives the connection until `future` completes; returns `None` if the connection ends first.
     pub async fn drive<F: Future>(&mut self, future: F) -> Option<F::Output> {
         self.driver.drive(future).await
     }
 
-    /// Sends a request and waits for the head of the response; `None` if the connection ends before.
+    /// Sends a request and waits for the head of the response; returns `None` if the connection ends first.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -70,8 +70,8 @@
         self.driver.drive(self.sender.try_send_request(request)).await
     }
 
-    /// Sends an attempt that the guard permitted, waits for the head of the response, and reports to the guard whether
-    /// and when the attempt was written.
+    /// Sends an attempt that the guard has permitted, waits for the head of the response, and reports to the guard
+    /// whether and when the attempt was written.
     pub(super) async fn send_permitted(
         &mut self,
         request: &ForwardedRequest,
@@ -90,7 +90,7 @@
                     request.guard.attempt_not_written(&request.history, &permit);
                 }
             } else if is_queued && let Some(permit) = permit.take() {
-                // The last poll queued it, and the connection has handed it to the system since.
+                // The previous poll queued the request, and the connection has passed it to the system since then.
                 request.guard.attempt_written(clock.now(), &permit);
             }
             is_queued = true;
@@ -99,8 +99,8 @@
         self.driver.drive(sending).await
     }
 
-    /// Returns the connection if it can carry another request: it has not ended, and no bytes lie on it that would be
-    /// taken for the next response. Does not wait, and asks the system, since the runtime may not know yet.
+    /// Returns the connection if it can carry another request: it has not ended, and has no unread bytes that would be
+    /// read as the next response. Does not wait. Queries the system, since the runtime may not have noticed yet.
     ///
     /// # Errors
     /// How the connection has ended.
@@ -120,8 +120,8 @@
 
 impl Driver {
     fn poll(&mut self, cx: &mut Context<'_>) {
-        // The end is stored, as the sender stays ready after it: a connection that the backend closed right after its
-        // response would otherwise be kept and reused.
+        // The end is stored because the sender stays ready after it: otherwise a connection that the backend closed
+        // right after its response would be reused.
         if self.end.is_none()
             && let Poll::Ready(end) = self.connection.as_mut().poll(cx)
         {
--- a/src/proxy/upstream/mod.rs
+++ b/src/proxy/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The backends' side: connections to backends, the pool that keeps them, and attempts on them.
+//! The backend side of the proxy: connections to backends, their pools, and attempts on them.
 
 mod attempt;
 mod budget;
@@ -11,5 +11,5 @@
 pub use connection::{ConnectionEnd, UpstreamConnection, connect};
 pub use pool::{Endpoint, recent_use};
 
-/// The largest body of a request or a response.
+/// The maximum size of the body of a request or a response, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
--- a/src/proxy/upstream/pending.rs
+++ b/src/proxy/upstream/pending.rs
@@ -18,7 +18,7 @@
     pub(super) permit: ConnectionPermit,
     /// When it is cancelled.
     pub(super) deadline: Instant,
-    /// The endpoint's when it was begun.
+    /// The endpoint's epoch when the connect was started.
     pub(super) epoch: u64,
 }
 
@@ -36,7 +36,8 @@
     }
 }
 
-/// A connection that an attempt waits for. Dropped before it is established, it is left to the endpoint's pool.
+/// A connection that an attempt waits for. If this is dropped before the connection is established, the endpoint's pool
+/// takes over the pending connection.
 pub(super) struct AwaitedConnection {
     endpoint: Rc<Endpoint>,
     pending: Option<PendingConnection>,
@@ -48,7 +49,7 @@
         Self { endpoint: endpoint.clone(), pending: Some(pending) }
     }
 
-    /// Waits until the connection is established; `None` if that fails.
+    /// Waits until the connection is established; returns `None` if that fails.
     pub(super) async fn established(&mut self) -> Option<PooledConnection> {
         loop {
             let pending = self.pending.as_mut()?;
@@ -58,7 +59,7 @@
             if self.endpoint.address() == address {
                 return Some((upstream, permit));
             }
-            // The backend has another address by now, and the old one may belong to another backend.
+            // The backend's address has changed, and the old one may belong to another backend by now.
             self.pending = Some(PendingConnection::begin(&self.endpoint, permit, deadline));
         }
     }
--- a/src/proxy/upstream/pool.rs
+++ b/src/proxy/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one backend: idle ones, which are reused, and when attempts to the backend must end.
+//! The connection pool of one backend, and the times when attempts to the backend must end.
 
 use super::budget::{ConnectionBudget, ConnectionPermit};
 use super::connection::{ConnectionEnd, UpstreamConnection};
@@ -11,26 +11,27 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The fraction of the backends' idle limit up to which a connection is reused: close to the limit, a request would
-/// cross the backend's close and be lost.
+/// The fraction of the backends' idle timeout up to which a connection is reused. Close to the timeout, a request could
+/// be sent while the backend closes the connection, and be lost.
 const REUSE_FRACTION: f64 = 0.7;
-/// How long a connection rests after a response. A faulty backend may send a second response some milliseconds after
-/// the first, and it would pass for the response to the next request.
+/// How long a connection is not reused after a response. A faulty backend may send a second response some milliseconds
+/// after the first, which would be taken for the response to the next request.
 const LATE_RESPONSE_WINDOW: Duration = Duration::from_millis(20);
-/// The longest idle time that counts as recent use, after which a connection carries any request.
+/// The upper bound of the idle time that counts as recent use. A recently used connection may carry any request.
 const MAX_RECENT_USE: Duration = Duration::from_millis(100);
-/// Where idle connections are closed sooner, recent use is this fraction of that limit.
+/// The idle time that counts as recent use, as a fraction of the backends' idle timeout.
 const RECENT_USE_FRACTION: f64 = 0.1;
-/// Recent use is never shorter than this, since idle connections are checked as often.
+/// The lower bound of the idle time that counts as recent use, since idle connections are checked at that interval.
 const MIN_RECENT_USE: Duration = Duration::from_millis(10);
 
-/// The idle time up to which a connection counts as in use until now, where backends close idle ones after `idle_close`
-/// at the latest. Idle connections are checked at this interval, so their lifetime is known to this precision.
+/// The idle time up to which a connection counts as recently used, if backends close idle connections after
+/// `idle_close` at the latest. Idle connections are checked at this interval, so their lifetime is known to this
+/// precision.
 pub fn recent_use(idle_close: Duration) -> Duration {
     idle_close.mul_f64(RECENT_USE_FRACTION).clamp(MIN_RECENT_USE, MAX_RECENT_USE)
 }
 
-/// A connection with its part of the budget.
+/// A connection with its permit.
 pub(super) type PooledConnection = (UpstreamConnection, ConnectionPermit);
 
 struct IdleConnection {
@@ -38,34 +39,34 @@
     permit: ConnectionPermit,
     since: Instant,
     /// How long it had been idle at the last check.
-    last_checked_after: Duration,
-    /// Whether it has carried a response, after which another may follow.
+    idle_at_last_check: Duration,
+    /// Whether it has carried a response, which an unsolicited one may follow.
     has_response: bool,
 }
 
 impl IdleConnection {
     fn new(upstream: UpstreamConnection, permit: ConnectionPermit, has_response: bool) -> Self {
-        Self { upstream, permit, since: Instant::now(), last_checked_after: Duration::ZERO, has_response }
+        Self { upstream, permit, since: Instant::now(), idle_at_last_check: Duration::ZERO, has_response }
     }
 
-    /// Whether no late response is expected on it any more.
+    /// Whether the time in which a late response may arrive on it is over.
     fn is_settled(&self) -> bool {
         !self.has_response || self.since.elapsed() >= LATE_RESPONSE_WINDOW
     }
 
-    /// Returns the connection unless it has ended. If the backend closed it after more than recent use, the budget
-    /// learns how long it was idle.
+    /// Returns the connection unless it has ended. If the backend closed it when it was no longer recently used,
+    /// records in the budget how long it was idle.
     fn checked(self, recent_use: Duration) -> Option<Self> {
-        let Self { upstream, permit, since, last_checked_after, has_response } = self;
+        let Self { upstream, permit, since, idle_at_last_check, has_response } = self;
         match upstream.checked() {
             Ok(upstream) => {
-                let last_checked_after = since.elapsed();
-                Some(Self { upstream, permit, since, last_checked_after, has_response })
+                let idle_at_last_check = since.elapsed();
+                Some(Self { upstream, permit, since, idle_at_last_check, has_response })
             }
             Err(end) => {
-                // One that ended sooner was closed right after its response, which says nothing of idle times.
-                if end == ConnectionEnd::Closed && last_checked_after >= recent_use {
-                    permit.record_idle_lifetime(last_checked_after);
+                // A connection that ended sooner was closed right after its response, not for its idle time.
+                if end == ConnectionEnd::Closed && idle_at_last_check >= recent_use {
+                    permit.record_idle_lifetime(idle_at_last_check);
                 }
                 None
             }
@@ -79,12 +80,12 @@
     idle: RefCell<Vec<IdleConnection>>,
     /// Connections that are being established and that no attempt waits for any more.
     abandoned: RefCell<Vec<PendingConnection>>,
-    /// When sends stop, while the backend is draining or removed.
+    /// When sending stops, if the backend is draining or removed.
     send_cutoff: Cell<Option<Time>>,
-    /// When the grace period of that announcement is over.
+    /// When the grace period of the drain or removal ends.
     grace_deadline: Cell<Option<Time>>,
     is_removed: Cell<bool>,
-    /// Increases when the connections so far must not be reused.
+    /// Incremented when the existing connections must no longer be reused.
     epoch: Cell<u64>,
     budget: Rc<ConnectionBudget>,
     connect_timeout: Duration,
@@ -93,7 +94,7 @@
 }
 
 impl Endpoint {
-    /// A backend at `address` that closes idle connections after `idle_close`.
+    /// Returns the endpoint of a backend at `address` that closes idle connections after `idle_close`.
     pub fn new(
         address: SocketAddr,
         budget: Rc<ConnectionBudget>,
@@ -135,7 +136,7 @@
         self.grace_deadline.get()
     }
 
-    /// Applies what the endpoint list says now: the address and, if the backend is draining or removed, when sends stop.
+    /// Applies the current list entry: the address and, if the backend is draining or removed, when sending stops.
     pub fn update(&self, address: SocketAddr, send_cutoff: Option<Time>) {
         if self.address.replace(address) != address || send_cutoff.is_some() {
             self.close_idle();
@@ -147,32 +148,32 @@
         self.is_removed.set(false);
     }
 
-    /// The backend was removed from the list: sends stop at `send_cutoff`.
+    /// Marks the backend as removed from the list; sending stops at `send_cutoff`.
     pub fn remove(&self, send_cutoff: Time) {
         self.update(self.address.get(), Some(send_cutoff));
         self.is_removed.set(true);
     }
 
-    /// Whether the backend is removed and no attempt to it is in flight.
+    /// Whether the backend was removed and no attempt on it is in flight.
     pub fn is_finished(self: &Rc<Self>) -> bool {
         self.is_removed.get() && Rc::strong_count(self) == 1
     }
 
-    /// Closes the idle connections, and those in use as soon as they are idle.
+    /// Closes the idle connections, and those in use as soon as they become idle.
     pub fn close_idle(&self) {
         self.epoch.set(self.epoch.get() + 1);
         self.idle.borrow_mut().clear();
         self.abandoned.borrow_mut().clear();
     }
 
-    /// Sets when the grace period of a draining or removed backend is over; a later call does not extend it.
+    /// Sets when the grace period of a draining or removed backend ends; later calls do not extend it.
     pub fn set_grace_deadline(&self, deadline: Time) {
         if self.send_cutoff.get().is_some() {
             self.grace_deadline.set(self.grace_deadline.get().or(Some(deadline)));
         }
     }
 
-    /// Closes connections that have been idle too long, or that the backend has closed.
+    /// Closes connections that have been idle for too long or that the backend has closed.
     pub fn evict_expired(&self) {
         self.collect_abandoned();
         let is_fresh = |idle: &IdleConnection| idle.since.elapsed() < self.max_idle;
@@ -181,7 +182,7 @@
         self.idle.replace(kept);
     }
 
-    /// Closes an abandoned connection, or else the one that has been idle longest; returns whether there was one.
+    /// Closes an abandoned connection, or else the one that has been idle longest. Returns whether there was one.
     pub fn evict_one(&self) -> bool {
         if self.abandoned.borrow_mut().pop().is_some() {
             return true;
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Stores a connection for reuse, if it works and belongs to the current epoch.
+    /// Stores a connection for reuse if it is usable and belongs to the current epoch.
     pub(super) fn store(&self, (upstream, permit): PooledConnection, epoch: u64, has_response: bool) {
         if let Ok(upstream) = upstream.checked()
             && self.epoch.get() == epoch
@@ -202,12 +203,12 @@
         }
     }
 
-    /// Leaves a connection that is being established to the pool.
+    /// Adds a connection that is being established and that no attempt waits for any more.
     pub(super) fn abandon(&self, pending: PendingConnection) {
         self.abandoned.borrow_mut().push(pending);
     }
 
-    /// Removes the idle connection that was used last, of those that may carry the request.
+    /// Removes and returns the most recently used idle connection that may carry the request.
     fn pop_idle(&self, is_non_idempotent: bool) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
         let may_carry = |idle: &IdleConnection| {
@@ -217,7 +218,7 @@
         Some(idle.remove(index))
     }
 
-    /// A reusable idle connection, if there is one; others are closed.
+    /// Removes and returns a reusable idle connection, if there is one. Closes unusable ones that it finds.
     fn reusable_idle(&self, is_non_idempotent: bool) -> Option<PooledConnection> {
         self.collect_abandoned();
         while let Some(idle) = self.pop_idle(is_non_idempotent) {
@@ -230,9 +231,9 @@
         None
     }
 
-    /// An idle connection or a new one, for an attempt with this deadline; `None` if there is none within the connect
-    /// timeout. A connection that was begun is then left to the pool: should it be established by the deadline, it
-    /// serves other requests, as the backend has paid for it.
+    /// Returns an idle or a new connection for an attempt with this deadline, or `None` if there is none within the
+    /// connect timeout. A connection that is still being established then stays in the pool: if it is established by
+    /// the deadline, it serves other requests, since the backend has already borne its cost.
     pub(super) async fn acquire(
         self: &Rc<Self>,
         is_non_idempotent: bool,
@@ -249,7 +250,7 @@
             if let Ok(established) = established {
                 return established;
             }
-            // Another request's connection may be idle before this one is established.
+            // Another request's connection may become idle before this one is established.
             if let Some(reused) = self.reusable_idle(is_non_idempotent) {
                 return Some(reused);
             }
@@ -259,7 +260,7 @@
         }
     }
 
-    /// Stores abandoned connections that have been established, and cancels those that take too long.
+    /// Stores abandoned connections that have been established, and cancels those past their deadline.
     fn collect_abandoned(&self) {
         let mut cx = Context::from_waker(Waker::noop());
         for mut pending in self.abandoned.take() {
