--- a/src/proxy/discovery/watch.rs
+++ b/src/proxy/discovery/watch.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a poll waits for changes while it is unknown whether discovery answers. It is short because such a poll only
+/// How long a poll waits for changes while it is unknown whether discovery answers. It is short as such a poll only
 /// requests the current state.
 const SHORT_POLL_WAIT: Duration = Duration::from_millis(100);
 /// How long such a poll may take beyond its wait if there are other nodes to poll.
--- a/tests/crowded_discovery.rs
+++ b/tests/crowded_discovery.rs
@@ -1,9 +1,9 @@
-//! A fleet that polls a discovery service with little capacity after an outage: the polls of all proxies must
-//! not keep the service from answering any.
+//! A fleet polls a discovery service with little capacity after an outage: the polls of all proxies together
+//! must not prevent the service from answering any of them.
 //!
-//! The service is a model of one that answers polls in turn: a poll that has been queued for too long fails,
-//! one that finds the queue full is rejected at once, and one that its proxy has cancelled is processed
-//! nevertheless.
+//! The modelled service answers polls in order of arrival: a poll that has been queued for too long fails, one
+//! that arrives when the queue is full is rejected immediately, and one that its proxy has cancelled is still
+//! processed.
 
 mod common;
 
@@ -13,27 +13,28 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet, VecDeque};
 
-/// Proxies in all tiers together.
+/// The number of proxies in all tiers.
 const PROXIES: usize = 300;
-/// Proxies in each tier.
-const PROXIES_OF_A_TIER: usize = 100;
-/// Polls that the service answers per second.
+/// The number of proxies in each tier.
+const PROXIES_PER_TIER: usize = 100;
+/// The number of polls that the service answers per second.
 const POLLS_PER_SECOND: f64 = 50.0;
-/// Polls that can be queued.
+/// The maximum number of queued polls.
 const QUEUE_CAPACITY: usize = 100;
-/// How long a poll can be queued, in seconds.
-const MAX_QUEUE_TIME: Time = 2.0;
+/// The longest time that a poll can be queued, in seconds.
+const MAX_QUEUE_TIME_S: Time = 2.0;
 /// The network delay, in seconds.
-const NETWORK_DELAY: Time = 0.03;
+const NETWORK_DELAY_S: Time = 0.03;
 /// The duration of the outage, in seconds.
-const OUTAGE: Time = 8.0;
-/// All proxies are notified within this time after the outage, in seconds: twice that of a service without
-/// queue.
-const MAX_NOTIFICATION_TIME: Time = 2.0 * PROXIES as f64 / POLLS_PER_SECOND;
-/// How long a poll is held for changes, in seconds. A proxy waits for that time and `response_timeout`.
-const HOLD_TIME: Time = 0.1;
-
-/// What happens to a proxy, or in the service.
+const OUTAGE_S: Time = 8.0;
+/// All proxies must be notified within this time after the outage, in seconds: twice the time that a service
+/// without a queue needs.
+const MAX_NOTIFICATION_TIME_S: Time = 2.0 * PROXIES as f64 / POLLS_PER_SECOND;
+/// How long a poll waits for changes, in seconds. Its proxy cancels it after that time plus
+/// `response_timeout`.
+const POLL_WAIT_S: Time = 0.1;
+
+/// An event at a proxy or in the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     Timer { proxy: usize, token: u64 },
@@ -41,7 +42,7 @@
     Served { poll: usize },
 }
 
-/// When a step is due, in microseconds, and its number, which orders the steps of one instant.
+/// When a step is due, in microseconds, and its number, which orders steps with the same time.
 type Due = Reverse<(u64, usize)>;
 
 fn micros(at: Time) -> u64 {
@@ -53,9 +54,9 @@
     balancers: Vec<Balancer>,
     due: BinaryHeap<Due>,
     steps: Vec<Step>,
-    /// The proxy of each poll, and whether it still waits for the answer.
+    /// The proxy of each poll, and whether it still waits for the response.
     polls: Vec<(usize, bool)>,
-    /// The queued polls, and when each was queued.
+    /// The queued polls, and the time when each was queued.
     queue: VecDeque<(usize, Time)>,
     busy_until: Time,
     notified: HashSet<usize>,
@@ -64,7 +65,7 @@
 impl Fleet {
     fn start() -> Self {
         let settings =
-            Settings { polls_discovery: true, proxy_count: PROXIES_OF_A_TIER, ..idempotent_settings() };
+            Settings { polls_discovery: true, proxy_count: PROXIES_PER_TIER, ..idempotent_settings() };
         let balancer = |n| Balancer::new(0.0, n as u64, settings.clone());
         let mut fleet = Self {
             now: 0.0,
@@ -73,7 +74,7 @@
             steps: Vec::new(),
             polls: Vec::new(),
             queue: VecDeque::new(),
-            busy_until: OUTAGE,
+            busy_until: OUTAGE_S,
             notified: HashSet::new(),
         };
         let list = [endpoint(1), endpoint(2), endpoint(3)];
@@ -100,22 +101,22 @@
         }
     }
 
-    /// A proxy polls the service.
+    /// Sends a poll from a proxy to the service.
     fn poll(&mut self, proxy: usize) {
         let poll = self.polls.len();
         self.polls.push((proxy, true));
         if self.queue.len() >= QUEUE_CAPACITY {
-            return self.schedule(self.now + NETWORK_DELAY, Step::PollRejected { proxy, poll });
+            return self.schedule(self.now + NETWORK_DELAY_S, Step::PollRejected { proxy, poll });
         }
         self.queue.push_back((poll, self.now));
-        let timeout = HOLD_TIME + response_timeout(PROXIES_OF_A_TIER);
-        self.schedule(self.now + timeout.min(MAX_QUEUE_TIME), Step::PollRejected { proxy, poll });
+        let timeout = POLL_WAIT_S + response_timeout(PROXIES_PER_TIER);
+        self.schedule(self.now + timeout.min(MAX_QUEUE_TIME_S), Step::PollRejected { proxy, poll });
         if self.queue.len() == 1 {
             self.process_next();
         }
     }
 
-    /// The service starts to process the first poll of the queue.
+    /// Starts processing the first poll of the queue.
     fn process_next(&mut self) {
         if let Some(&(poll, _)) = self.queue.front() {
             self.busy_until = self.busy_until.max(self.now) + 1.0 / POLLS_PER_SECOND;
@@ -134,9 +135,9 @@
             Step::Served { poll } => {
                 let queued_at = self.queue.pop_front().map_or(self.now, |(_, queued_at)| queued_at);
                 let (proxy, is_waiting) = self.polls[poll];
-                if is_waiting && self.now - queued_at <= MAX_QUEUE_TIME {
+                if is_waiting && self.now - queued_at <= MAX_QUEUE_TIME_S {
                     self.polls[poll].1 = false;
-                    // From now on it is notified of changes without further polls.
+                    // From now on the proxy is notified of changes without further polls.
                     self.notified.insert(proxy);
                     self.handle_event(proxy, Event::Endpoints(EndpointUpdate::Changes(&[])));
                 }
@@ -160,15 +161,16 @@
 #[test]
 fn discovery_recovers_from_an_outage_under_the_polls_of_the_fleet() {
     let mut fleet = Fleet::start();
-    fleet.run_to(OUTAGE + MAX_NOTIFICATION_TIME);
+    fleet.run_to(OUTAGE_S + MAX_NOTIFICATION_TIME_S);
     let (notified, polls) = (fleet.notified.len(), fleet.polls.len());
     assert_eq!(notified, PROXIES, "{notified} of {PROXIES} proxies were notified, with {polls} polls");
 }
 
-/// Requests in flight at the same time: the backend that rejects has the fewest attempts in flight.
+/// The number of concurrent requests. With several in flight, the rejecting backend has the fewest attempts in
+/// flight.
 const CONCURRENT_REQUESTS: u64 = 8;
 
-/// Backend 1 rejects all attempts, backend 2 serves them. Returns the number sent to each.
+/// Sends requests; backend 1 rejects all attempts, backend 2 serves them. Returns the number sent to each.
 fn send_with_rejecting_backend(balancer: &mut TestBalancer, next: &mut u64) -> [usize; 2] {
     let mut sent = [0, 0];
     for _ in 0..10 {
@@ -197,20 +199,23 @@
     let mut next = 0;
     balancer.event(Event::Endpoints(EndpointUpdate::Snapshot(&list)));
     let [rejected, _] = send_with_rejecting_backend(&mut balancer, &mut next);
-    assert!(rejected > 2, "with a current list a backend that rejects is full, and tried again: {rejected}");
+    assert!(
+        rejected > 2,
+        "with a current list, a rejecting backend counts as full and is tried again: {rejected}"
+    );
     balancer.event(Event::Endpoints(EndpointUpdate::PollFailed));
     balancer.run_to(balancer.now + 4.1);
     balancer.event(Event::Endpoints(EndpointUpdate::PollFailed));
     let [rejected, served] = send_with_rejecting_backend(&mut balancer, &mut next);
-    assert!(served > 0, "{rejected} to the backend that rejects, {served} to the other");
+    assert!(served > 0, "{rejected} attempts to the rejecting backend, {served} to the other");
     let [rejected, _] = send_with_rejecting_backend(&mut balancer, &mut next);
-    assert_eq!(rejected, 0, "it has rejected twice in a row");
+    assert_eq!(rejected, 0, "the backend has rejected twice in a row");
     balancer.event(Event::Endpoints(EndpointUpdate::Changes(&[])));
     let [rejected, _] = send_with_rejecting_backend(&mut balancer, &mut next);
-    assert!(rejected > 0, "the list has it in service");
+    assert!(rejected > 0, "the current list has the backend in service");
 }
 
-/// The backends of a series of requests, each served at once.
+/// Sends a series of requests that are served immediately; returns the backends used.
 fn backends_used(balancer: &mut TestBalancer, first: u64) -> std::collections::BTreeSet<u32> {
     (first..first + 40)
         .map(|id| {
@@ -225,14 +230,17 @@
     let list: Vec<EndpointEntry> = (1..=6).map(endpoint).collect();
     let mut balancer = TestBalancer::new(Settings { polls_discovery: true, ..idempotent_settings() }, &list);
     balancer.event(Event::Endpoints(EndpointUpdate::Snapshot(&list)));
-    assert!(backends_used(&mut balancer, 100).len() > 2, "with a current list all members are used");
+    assert!(backends_used(&mut balancer, 100).len() > 2, "with a current list, several backends are used");
     balancer.event(Event::Endpoints(EndpointUpdate::PollFailed));
     balancer.run_to(balancer.now + 5.0);
     balancer.event(Event::Endpoints(EndpointUpdate::PollFailed));
-    // No backend has responded of late: from the first response on that backend is used.
+    // No backend has responded recently: after the first response, only that backend is used.
     assert_eq!(backends_used(&mut balancer, 200).len(), 1);
     balancer.event(Event::Endpoints(EndpointUpdate::Changes(&[])));
-    assert!(backends_used(&mut balancer, 300).len() > 2, "with a current list again");
+    assert!(
+        backends_used(&mut balancer, 300).len() > 2,
+        "with a current list again, several backends are used"
+    );
 }
 
 #[test]
@@ -240,5 +248,5 @@
     let list: Vec<EndpointEntry> = (1..=6).map(endpoint).collect();
     let mut balancer = TestBalancer::new(Settings { polls_discovery: true, ..idempotent_settings() }, &list);
     balancer.run_to(balancer.now + 5.0);
-    assert_eq!(backends_used(&mut balancer, 100).len(), 1, "the list that it starts with may be old");
+    assert_eq!(backends_used(&mut balancer, 100).len(), 1, "the initial list may be old");
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! How soon the proxy is notified of changes of the endpoint list, whatever polls fail, on loopback sockets and in paused
-//! time: waits take no time, and how long they would have taken is exact.
+//! How soon the proxy is notified of changes of the endpoint list when polls fail. The tests use loopback sockets and
+//! paused time: waits take no real time, and their simulated duration is exact.
 
 use linkhatch_proxy::proxy::discovery::Discovery;
 use linkhatch_proxy::proxy::engine::Engine;
@@ -16,36 +16,36 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// A change counts as notified this long after discovery could be reached.
+/// The proxy must be notified of a change within this time after discovery can be reached.
 const NOTIFY_TIMEOUT: Duration = Duration::from_secs(6);
-/// The same from SIGHUP on, where discovery has moved.
-const MOVED: Duration = Duration::from_secs(4);
+/// The time limit after a SIGHUP if discovery has moved.
+const MOVE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What a node does with a poll.
+/// How a node handles a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Call {
-    /// Answers with the list: at once where it is newer than the proxy's, else when the proxy's wait is over.
-    List,
-    /// Reads it and does not answer.
-    Silence,
-    /// Ends the connection.
-    End,
+enum PollBehavior {
+    /// Answers with the list: at once if it is newer than the proxy's, otherwise when the proxy's wait is over.
+    Answer,
+    /// Reads the poll and does not answer.
+    Hang,
+    /// Closes the connection.
+    Close,
     /// Answers 503.
-    Refuse,
+    Reject,
     /// Stops in the middle of the list.
-    Short,
+    Truncate,
 }
 
-/// A discovery of one node or several, with one list.
+/// A discovery service with one or more nodes that share one list.
 struct Nodes {
     addresses: Vec<SocketAddr>,
-    plays: Vec<Cell<Call>>,
-    /// What happens to the next polls, at whichever node, before `plays` applies.
-    next: RefCell<Vec<Call>>,
+    behaviors: Vec<Cell<PollBehavior>>,
+    /// The behavior for the next polls at any node, last first; `behaviors` applies once this is empty.
+    next_behaviors: RefCell<Vec<PollBehavior>>,
     generation: Cell<u64>,
-    /// The node that was polled last, and the number of polls.
-    last: Cell<usize>,
-    calls: Cell<usize>,
+    /// The node that was polled last.
+    last_polled: Cell<usize>,
+    poll_count: Cell<usize>,
 }
 
 impl Nodes {
@@ -56,11 +56,11 @@
         }
         let nodes = Rc::new(Self {
             addresses: listeners.iter().map(|l| l.local_addr().unwrap()).collect(),
-            plays: vec![Cell::new(Call::List); count],
-            next: RefCell::default(),
+            behaviors: vec![Cell::new(PollBehavior::Answer); count],
+            next_behaviors: RefCell::default(),
             generation: Cell::new(1),
-            last: Cell::new(0),
-            calls: Cell::new(0),
+            last_polled: Cell::new(0),
+            poll_count: Cell::new(0),
         });
         for (number, listener) in listeners.into_iter().enumerate() {
             let nodes = nodes.clone();
@@ -74,46 +74,46 @@
     }
 
     async fn serve(self: Rc<Self>, number: usize, mut stream: TcpStream) {
-        let mut got = Vec::new();
+        let mut received = Vec::new();
         loop {
-            while !got.ends_with(b"\r\n\r\n") {
-                match stream.read_buf(&mut got).await {
+            while !received.ends_with(b"\r\n\r\n") {
+                match stream.read_buf(&mut received).await {
                     Ok(1..) => {}
                     _ => return,
                 }
             }
-            let text = String::from_utf8(std::mem::take(&mut got)).unwrap();
-            let asked = |name: &str| -> u64 {
-                let value = text.split(name).nth(1).unwrap();
+            let request = String::from_utf8(std::mem::take(&mut received)).unwrap();
+            let parameter = |name: &str| -> u64 {
+                let value = request.split(name).nth(1).unwrap();
                 value.split(|c: char| !c.is_ascii_digit()).next().unwrap().parse().unwrap()
             };
-            let (since, wait) = (asked("since="), asked("timeout_ms="));
-            self.last.set(number);
-            self.calls.set(self.calls.get() + 1);
-            let next = { self.next.borrow_mut().pop() };
-            let call = next.unwrap_or_else(|| self.plays[number].get());
-            if call == Call::List && self.generation.get() <= since {
-                let news = async {
+            let (since, wait) = (parameter("since="), parameter("timeout_ms="));
+            self.last_polled.set(number);
+            self.poll_count.set(self.poll_count.get() + 1);
+            let next = { self.next_behaviors.borrow_mut().pop() };
+            let behavior = next.unwrap_or_else(|| self.behaviors[number].get());
+            if behavior == PollBehavior::Answer && self.generation.get() <= since {
+                let changed = async {
                     while self.generation.get() <= since {
                         tokio::time::sleep(Duration::from_millis(5)).await;
                     }
                 };
-                let _ = tokio::time::timeout(Duration::from_millis(wait), news).await;
+                let _ = tokio::time::timeout(Duration::from_millis(wait), changed).await;
             }
             let generation = self.generation.get();
             let list = json!({"generation": generation, "reset": true, "instances": []}).to_string();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
-            match call {
-                Call::List => stream.write_all(format!("{head}{list}").as_bytes()).await.unwrap(),
-                Call::End => return,
-                Call::Refuse => {
-                    let refusal = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-                    stream.write_all(refusal).await.unwrap();
+            match behavior {
+                PollBehavior::Answer => stream.write_all(format!("{head}{list}").as_bytes()).await.unwrap(),
+                PollBehavior::Close => return,
+                PollBehavior::Reject => {
+                    let rejection = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+                    stream.write_all(rejection).await.unwrap();
                 }
-                Call::Silence | Call::Short => {
+                PollBehavior::Hang | PollBehavior::Truncate => {
                     let part = format!("{head}{}", &list[..list.len() / 2]);
-                    let said = if call == Call::Short { part.as_bytes() } else { b"" };
-                    stream.write_all(said).await.unwrap();
+                    let written = if behavior == PollBehavior::Truncate { part.as_bytes() } else { b"" };
+                    stream.write_all(written).await.unwrap();
                     let _ = stream.read(&mut [0]).await; // open until the proxy cancels the poll
                     return;
                 }
@@ -128,178 +128,195 @@
     }
 }
 
-/// A proxy's discovery client, and the last generation that it was notified of.
-fn follow(addresses: &[SocketAddr], polls_discovery: bool, seed: u64) -> (Rc<Discovery>, Rc<Cell<u64>>) {
+/// Starts a proxy's discovery client. Returns it and the last generation that it was notified of.
+fn start_client(
+    addresses: &[SocketAddr],
+    polls_discovery: bool,
+    seed: u64,
+) -> (Rc<Discovery>, Rc<Cell<u64>>) {
     let settings = Settings {
         classes: vec![Class::default()],
         polls_discovery,
         poll_timeout: 10.0,
         ..Settings::default()
     };
-    let wire = ProxySettings::default();
-    let engine = Engine::start(settings.clone(), &wire, seed, 8);
-    let discovery = Discovery::start(addresses.to_vec(), Default::default(), None, &wire, &settings, engine);
+    let proxy_settings = ProxySettings::default();
+    let engine = Engine::start(settings.clone(), &proxy_settings, seed, 8);
+    let discovery =
+        Discovery::start(addresses.to_vec(), Default::default(), None, &proxy_settings, &settings, engine);
     let notified = Rc::new(Cell::new(0));
-    let notify = notified.clone();
-    discovery.on_list(move |generation| notify.set(generation));
+    let on_notified = notified.clone();
+    discovery.on_list(move |generation| on_notified.set(generation));
     (discovery, notified)
 }
 
-/// Waits for a notification of a generation; returns how long that took.
+/// Waits for the notification of a generation; returns the elapsed time.
 async fn wait_for(notified: &Cell<u64>, generation: u64) -> Duration {
-    let start = Instant::now();
+    let started_at = Instant::now();
     while notified.get() < generation {
-        assert!(start.elapsed() < 20 * NOTIFY_TIMEOUT, "{generation} is never notified");
+        assert!(started_at.elapsed() < 20 * NOTIFY_TIMEOUT, "no notification of generation {generation}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    start.elapsed()
+    started_at.elapsed()
 }
 
-/// A watch that hangs at the moment of a change, and the polls after it that fail too.
+/// The poll that is in flight during a change, and the polls after it, fail.
 #[tokio::test(start_paused = true)]
-async fn pushed_changes_arrive_in_time_whatever_polls_fail() {
-    use Call::*;
-    for fails in [
+async fn pushed_changes_arrive_in_time_although_polls_fail() {
+    use PollBehavior::*;
+    for failures in [
         vec![],
-        vec![Silence],
-        vec![Silence, Silence, Silence],
-        vec![Silence, Short, Silence],
-        vec![Short, Short, Short],
-        vec![Silence, End, End, Refuse, Silence, End],
+        vec![Hang],
+        vec![Hang, Hang, Hang],
+        vec![Hang, Truncate, Hang],
+        vec![Truncate, Truncate, Truncate],
+        vec![Hang, Close, Close, Reject, Hang, Close],
     ] {
         let local = LocalSet::new();
-        let took = local.run_until(async {
+        let elapsed = local.run_until(async {
             let nodes = Nodes::start(1).await;
-            let (_discovery, notified) = follow(&nodes.addresses, false, 1);
+            let (_discovery, notified) = start_client(&nodes.addresses, false, 1);
             wait_for(&notified, 1).await;
-            // The poll in flight waits for changes, and those after it are to fail.
-            let calls = nodes.calls.get();
-            *nodes.next.borrow_mut() = fails.iter().rev().copied().collect();
-            while nodes.calls.get() == calls {
+            // The poll in flight waits for changes; the next ones use `failures`.
+            let poll_count = nodes.poll_count.get();
+            *nodes.next_behaviors.borrow_mut() = failures.iter().rev().copied().collect();
+            while nodes.poll_count.get() == poll_count {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             wait_for(&notified, nodes.change()).await
         });
-        let took = took.await;
-        assert!(took < NOTIFY_TIMEOUT, "{fails:?}: {took:?}");
+        let elapsed = elapsed.await;
+        assert!(elapsed < NOTIFY_TIMEOUT, "{failures:?}: {elapsed:?}");
     }
 }
 
-/// All nodes but the last one to be tried read polls and do not answer.
+/// All nodes hang except the one that is tried last.
 #[tokio::test(start_paused = true)]
 async fn the_only_node_that_answers_is_found_in_time() {
     for polls_discovery in [false, true] {
         for count in [3, 7] {
             let local = LocalSet::new();
-            let took = local.run_until(async {
+            let elapsed = local.run_until(async {
                 let nodes = Nodes::start(count).await;
-                let (_discovery, notified) = follow(&nodes.addresses, polls_discovery, 1);
+                let (_discovery, notified) = start_client(&nodes.addresses, polls_discovery, 1);
                 wait_for(&notified, 1).await;
-                tokio::time::sleep(Duration::from_millis(100)).await; // the next call is out, and falls silent
-                nodes.plays.iter().for_each(|play| play.set(Call::Silence));
-                let last = (nodes.last.get() + count - 1) % count;
-                nodes.plays[last].set(Call::List);
+                tokio::time::sleep(Duration::from_millis(100)).await; // the next poll is in flight, and will hang
+                nodes.behaviors.iter().for_each(|behavior| behavior.set(PollBehavior::Hang));
+                let last_tried = (nodes.last_polled.get() + count - 1) % count;
+                nodes.behaviors[last_tried].set(PollBehavior::Answer);
                 let generation = nodes.generation.get() + 1;
-                // The poll in flight is not answered any more.
-                nodes.next.borrow_mut().clear();
+                // The poll in flight is no longer answered.
+                nodes.next_behaviors.borrow_mut().clear();
                 tokio::time::sleep(Duration::from_secs(2)).await;
                 nodes.generation.set(generation);
                 wait_for(&notified, generation).await
             });
-            let took = took.await;
-            assert!(took < NOTIFY_TIMEOUT, "{count} nodes, asked for {polls_discovery}: {took:?}");
+            let elapsed = elapsed.await;
+            assert!(
+                elapsed < NOTIFY_TIMEOUT,
+                "{count} nodes, polls_discovery {polls_discovery}: {elapsed:?}"
+            );
         }
     }
 }
 
-/// Discovery recovers after having been down for long; one more poll fails then.
+/// Discovery recovers after a long outage, then one more poll fails.
 #[tokio::test(start_paused = true)]
 async fn polled_changes_arrive_in_time_once_discovery_is_back() {
-    for down in [Call::Refuse, Call::End, Call::Silence] {
-        for further in [Call::List, Call::Refuse, Call::Silence] {
+    for outage in [PollBehavior::Reject, PollBehavior::Close, PollBehavior::Hang] {
+        for next in [PollBehavior::Answer, PollBehavior::Reject, PollBehavior::Hang] {
             for seed in 0..5 {
                 let local = LocalSet::new();
-                let took = local.run_until(async {
+                let elapsed = local.run_until(async {
                     let nodes = Nodes::start(1).await;
-                    let (_discovery, notified) = follow(&nodes.addresses, true, seed);
+                    let (_discovery, notified) = start_client(&nodes.addresses, true, seed);
                     wait_for(&notified, 1).await;
-                    nodes.plays[0].set(down);
+                    nodes.behaviors[0].set(outage);
                     tokio::time::sleep(Duration::from_millis(30_000 + 137 * seed)).await;
-                    // It has recovered: a poll in flight is lost, and the next one may fail as well.
-                    nodes.plays[0].set(Call::List);
-                    if further != Call::List {
-                        nodes.next.borrow_mut().push(further);
+                    // Discovery recovers: a poll in flight is lost, and the next one may fail as well.
+                    nodes.behaviors[0].set(PollBehavior::Answer);
+                    if next != PollBehavior::Answer {
+                        nodes.next_behaviors.borrow_mut().push(next);
                     }
                     wait_for(&notified, nodes.change()).await
                 });
-                let took = took.await;
-                assert!(took < NOTIFY_TIMEOUT, "{down:?}, then {further:?}, seed {seed}: {took:?}");
+                let elapsed = elapsed.await;
+                assert!(elapsed < NOTIFY_TIMEOUT, "{outage:?}, then {next:?}, seed {seed}: {elapsed:?}");
             }
         }
     }
 }
 
-/// A process that starts while polls fail gets the list in time too.
+/// A process whose first poll fails also gets the list in time.
 #[tokio::test(start_paused = true)]
-async fn a_new_process_gets_the_list_in_time_though_its_first_poll_fails() {
+async fn a_new_process_gets_the_list_in_time_although_its_first_poll_fails() {
     for polls_discovery in [false, true] {
-        for first in [Call::List, Call::Refuse, Call::End, Call::Short, Call::Silence] {
+        for first in [
+            PollBehavior::Answer,
+            PollBehavior::Reject,
+            PollBehavior::Close,
+            PollBehavior::Truncate,
+            PollBehavior::Hang,
+        ] {
             for seed in 0..10 {
                 let local = LocalSet::new();
-                let took = local.run_until(async {
+                let elapsed = local.run_until(async {
                     let nodes = Nodes::start(1).await;
-                    nodes.next.borrow_mut().push(first);
-                    let (_discovery, notified) = follow(&nodes.addresses, polls_discovery, seed);
+                    nodes.next_behaviors.borrow_mut().push(first);
+                    let (_discovery, notified) = start_client(&nodes.addresses, polls_discovery, seed);
                     wait_for(&notified, 1).await
                 });
-                let took = took.await;
+                let elapsed = elapsed.await;
                 assert!(
-                    took < NOTIFY_TIMEOUT,
-                    "asked for {polls_discovery}, {first:?} first, seed {seed}: {took:?}"
+                    elapsed < NOTIFY_TIMEOUT,
+                    "polls_discovery {polls_discovery}, {first:?} first, seed {seed}: {elapsed:?}"
                 );
             }
         }
     }
 }
 
-/// SIGHUP with a poll in flight, between two polls, and with a first poll that the new address does not answer.
+/// The SIGHUP comes with a poll in flight or between two polls, and the first poll at the new address may hang.
 #[tokio::test(start_paused = true)]
-async fn discovery_that_has_moved_is_polled_in_time_and_its_old_address_no_more() {
+async fn moved_discovery_is_polled_in_time_and_its_old_address_no_longer() {
     for polls_discovery in [false, true] {
-        for old_play in [Call::List, Call::Silence, Call::Refuse] {
-            for first in [Call::List, Call::Silence] {
-                let (took, calls) = LocalSet::new()
+        for old_behavior in [PollBehavior::Answer, PollBehavior::Hang, PollBehavior::Reject] {
+            for first in [PollBehavior::Answer, PollBehavior::Hang] {
+                let (elapsed, late_polls) = LocalSet::new()
                     .run_until(async {
                         let (old, new) = (Nodes::start(1).await, Nodes::start(1).await);
-                        let (discovery, notified) = follow(&old.addresses, polls_discovery, 3);
+                        let (discovery, notified) = start_client(&old.addresses, polls_discovery, 3);
                         wait_for(&notified, 1).await;
-                        old.plays[0].set(old_play);
+                        old.behaviors[0].set(old_behavior);
                         tokio::time::sleep(Duration::from_millis(11_300)).await;
-                        new.next.borrow_mut().push(first);
+                        new.next_behaviors.borrow_mut().push(first);
                         new.generation.set(9);
                         discovery.move_to(new.addresses.clone());
-                        let took = wait_for(&notified, 9).await;
-                        let calls = old.calls.get();
-                        // The old address is not polled any more.
-                        old.plays[0].set(Call::List);
+                        let elapsed = wait_for(&notified, 9).await;
+                        let poll_count = old.poll_count.get();
+                        // The old address must not be polled any more.
+                        old.behaviors[0].set(PollBehavior::Answer);
                         old.generation.set(50);
                         tokio::time::sleep(Duration::from_secs(10)).await;
                         assert_eq!(notified.get(), 9);
-                        (took, old.calls.get() - calls)
+                        (elapsed, old.poll_count.get() - poll_count)
                     })
                     .await;
-                assert!(took < MOVED, "asked for {polls_discovery}, {old_play:?}, {first:?}: {took:?}");
-                assert_eq!(calls, 0, "no call goes to the old address any more");
+                assert!(
+                    elapsed < MOVE_TIMEOUT,
+                    "polls_discovery {polls_discovery}, {old_behavior:?}, {first:?}: {elapsed:?}"
+                );
+                assert_eq!(late_polls, 0, "the old address is not polled any more");
             }
         }
     }
 }
 
-/// Backends come and go for as long as the proxy runs: the state of removed ones must be released.
+/// Backends are added and removed for as long as the proxy runs, so the state of removed ones must be released.
 #[tokio::test(start_paused = true)]
 async fn state_of_removed_backends_is_released() {
     let local = LocalSet::new();
-    let kept = local.run_until(async {
+    let known = local.run_until(async {
         let settings = Settings { classes: vec![Class::default()], ..Settings::default() };
         let engine = Engine::start(settings, &ProxySettings::default(), 1, 8);
         let address = "127.0.0.1:9".parse().unwrap();
@@ -319,11 +336,12 @@
         }
         engine.known_backends()
     });
-    let [by_sockets, by_module] = kept.await;
-    assert!(by_sockets <= 2 && by_module <= 20, "{by_sockets} and {by_module} of 500");
+    let [in_endpoint_table, in_balancer] = known.await;
+    assert!(in_endpoint_table <= 2 && in_balancer <= 20, "{in_endpoint_table} and {in_balancer} of 500");
 }
 
-/// An answer of discovery is a list even if no backend in it is in service: the proxy is ready, and rejects.
+/// A response from discovery counts as a list even if none of its backends is in service: the proxy becomes ready and
+/// rejects requests.
 #[tokio::test(start_paused = true)]
 async fn a_list_without_a_backend_in_service_makes_the_proxy_ready() {
     let local = LocalSet::new();
