--- a/tests/upstream.rs
+++ b/tests/upstream.rs
@@ -317,7 +317,7 @@
 
 /// How a backend ends a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ResponseEnd {
+enum Ending {
     Close,
     Reset,
     Endless,
@@ -328,18 +328,14 @@
 fn a_truncated_response_is_never_served() {
     let head = "HTTP/1.1 200 OK\r\n";
     for (text, end, outcome) in [
-        (format!("{head}\r\nhalf"), ResponseEnd::Close, Outcome::Served),
-        (format!("{head}\r\nhalf"), ResponseEnd::Reset, Outcome::Reset),
-        (format!("{head}Connection: close\r\n\r\nhalf"), ResponseEnd::Reset, Outcome::Reset),
-        (format!("{head}Content-Length: 9\r\n\r\nhalf"), ResponseEnd::Close, Outcome::Reset),
-        (format!("{head}Content-Length: 9\r\n\r\nhalf"), ResponseEnd::Reset, Outcome::Reset),
-        (
-            format!("{head}Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"),
-            ResponseEnd::Close,
-            Outcome::Reset,
-        ),
-        (head.to_string(), ResponseEnd::Close, Outcome::Reset),
-        (format!("{head}\r\n"), ResponseEnd::Endless, Outcome::Reset),
+        (format!("{head}\r\nhalf"), Ending::Close, Outcome::Served),
+        (format!("{head}\r\nhalf"), Ending::Reset, Outcome::Reset),
+        (format!("{head}Connection: close\r\n\r\nhalf"), Ending::Reset, Outcome::Reset),
+        (format!("{head}Content-Length: 9\r\n\r\nhalf"), Ending::Close, Outcome::Reset),
+        (format!("{head}Content-Length: 9\r\n\r\nhalf"), Ending::Reset, Outcome::Reset),
+        (format!("{head}Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), Ending::Close, Outcome::Reset),
+        (head.to_string(), Ending::Close, Outcome::Reset),
+        (format!("{head}\r\n"), Ending::Endless, Outcome::Reset),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -349,11 +345,9 @@
             read_request(&mut stream).unwrap();
             stream.write_all(response.as_bytes()).unwrap();
             match end {
-                ResponseEnd::Close => stream.shutdown(Shutdown::Both).unwrap(),
-                ResponseEnd::Reset => {
-                    socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap()
-                }
-                ResponseEnd::Endless => while stream.write_all(&[b'x'; 4096]).is_ok() {},
+                Ending::Close => stream.shutdown(Shutdown::Both).unwrap(),
+                Ending::Reset => socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap(),
+                Ending::Endless => while stream.write_all(&[b'x'; 4096]).is_ok() {},
             }
         });
         let result = run(async {
