--- a/tests/crowded_discovery.rs
+++ b/tests/crowded_discovery.rs
@@ -1,5 +1,5 @@
 //! A fleet polls a discovery service with little capacity after an outage: the polls of all proxies together
-//! must not prevent the service from answering any of them.
+//! must not overload it so that it answers none of them.
 //!
 //! The modelled service answers polls in order of arrival: a poll that has been queued for too long fails, one
 //! that arrives when the queue is full is rejected immediately, and one that its proxy has cancelled is still
