--- a/src/agreement/calls.rs
+++ b/src/agreement/calls.rs
@@ -1,6 +1,6 @@
 //! The bodies of a session's calls to the list service. A renewal's body is [`super::state::Renewal`].
 
-use super::state::AppliedVersions;
+use super::state::RequiredRevisions;
 use serde::{Deserialize, Serialize};
 
 /// `POST /v1/session/open`: opens a session.
@@ -12,19 +12,20 @@
     /// The session's TTL, in milliseconds.
     pub ttl_ms: u64,
     /// The latest settings version that the proxy has and can apply.
-    pub holds: u64,
+    #[serde(rename = "holds")]
+    pub acknowledged: u64,
 }
 
-/// The reply to an [`OpenRequest`] that was granted.
+/// The reply to a granted [`OpenRequest`].
 #[derive(Debug, Deserialize)]
 pub struct OpenReply {
     /// The session.
     pub session: u64,
     /// Its slot.
     pub slot: u32,
-    /// What the proxy must have applied to be attached.
+    /// The revisions that the proxy must have applied to be attached.
     #[serde(flatten)]
-    pub required: AppliedVersions,
+    pub required: RequiredRevisions,
 }
 
 /// `POST /v1/session/refuse`: the proxy can't apply a version.
@@ -36,7 +37,7 @@
     pub name: &'a str,
     /// The version.
     pub version: u64,
-    /// Why not.
+    /// Why the proxy can't apply it.
     #[serde(rename = "why")]
     pub reason: &'a str,
 }
@@ -48,10 +49,10 @@
     pub session: u64,
 }
 
-/// The reply to a call that was rejected.
+/// The reply to a rejected call.
 #[derive(Debug, Default, Deserialize)]
 pub struct ErrorReply {
-    /// Why, for people.
+    /// The human-readable reason.
     #[serde(default)]
     pub error: String,
 }
--- a/src/agreement/document/differences.rs
+++ b/src/agreement/document/differences.rs
@@ -5,18 +5,18 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One key that differs between two documents.
+/// A key that differs between two documents.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Difference {
     /// The key, as in [`super::DocumentError`].
     pub key: String,
-    /// Its value in the first, if it is there.
+    /// Its value in the first document, if present.
     pub from: Option<Value>,
-    /// Its value in the second, if it is there.
+    /// Its value in the second document, if present.
     pub to: Option<Value>,
 }
 
-/// The keys by which two documents differ, in order.
+/// The keys by which two documents differ, sorted.
 pub fn differences(from: &Document, to: &Document) -> Vec<Difference> {
     let (from, to) = (values_by_key(from), values_by_key(to));
     let keys: BTreeSet<&String> = from.keys().chain(to.keys()).collect();
@@ -26,14 +26,14 @@
         .collect()
 }
 
-/// A document's values by key; those of lists under the names of their elements.
+/// A document's values by key; list elements are keyed by their name.
 fn values_by_key(document: &Document) -> BTreeMap<String, Value> {
     let mut values = BTreeMap::new();
     flatten(String::new(), serde_json::to_value(document).unwrap_or(Value::Null), &mut values);
     values
 }
 
-/// Adds the values in `value` under their keys, which begin with `key`.
+/// Adds the values in `value` under their keys, each prefixed with `key`.
 fn flatten(key: String, value: Value, values: &mut BTreeMap<String, Value>) {
     let nested_key = |name: &str| if key.is_empty() { name.to_string() } else { format!("{key}.{name}") };
     match value {
--- a/src/agreement/document/mod.rs
+++ b/src/agreement/document/mod.rs
@@ -1,26 +1,27 @@
 //! The settings document: what may change on a running fleet, what may not, and what a detached proxy applies.
 //!
-//! This module holds the document's form; `validation` decides which documents may enter the history, `initial` makes
+//! This module has the document's type; `validation` decides which documents may enter the history, `initial` makes
 //! the first one from a proxy's configuration, and `differences` compares two.
 //!
-//! **What may change**, and what would contradict what. Two proxies contradict each other where
+//! **What may change**, and how two proxies with different versions contradict each other:
 //! - `projects.*.quota-per-s`: together they may admit more inside a tenant's quota than it allows;
 //! - `max-attempts`: one may send a request more often than the other's version allows;
 //! - `max-retry-after`: one may ask a rejected client to wait for longer than the other's version allows;
 //! - `classes.*.on-time`, `hard-limit`: one may work on a request for longer than the other's version allows;
 //! - `classes.*.worth`, `late-worth`, `over-share-worth`, `shed`: they shed load in different orders.
 //!
-//! **What needs a restart**, and why: a class's name and a project's name (requests are read by them), a class's
-//! `effect`, `group`, `window` and `fifo-by-key` (they decide what may run twice: of two proxies that differ, one
-//! would break the other's guarantee), and `floor` (below). What is not in the document (zones, tier, socket
-//! timeouts, the capacity of backends that warm up) describes one site and is not shared by the fleet.
+//! **What needs a restart**, and why: a class's name and a project's name (requests are classified by them), a class's
+//! `effect`, `group`, `window` and `fifo-by-key` (they decide which requests may run twice: if two proxies differ, one
+//! would break the other's guarantee), and `floor` (below). Settings that are not in the document (zones, tier, socket
+//! timeouts, the capacity of backends that are warming up) describe one site and are not shared by the fleet.
 //!
 //! **The fallback settings** (key `floor`) are what a proxy applies while it is detached and can't know which version
 //! is committed: for each kind at most what any version may allow, which [`Document::check`] enforces for every
-//! version that enters. A detached proxy sheds load without regard to priority. So it contradicts no version, whatever
-//! was published meanwhile: it does less than any version allows, never more. A tenant's fallback quota is divided by
-//! the largest number of proxies that the fleet may have, and attached proxies divide only what is above it, so that
-//! attached and detached ones together never exceed the quota ([`crate::Balancer`] computes each one's part).
+//! version that enters the history. A detached proxy sheds load without regard to priority. So it contradicts no version,
+//! even one published in the meantime: it does less than any version allows, never more. A tenant's fallback quota is
+//! divided by the maximum number of proxies in the fleet, and attached proxies divide only the part of the quota above
+//! it, so that attached and detached proxies together never exceed the quota ([`crate::Balancer`] computes each proxy's
+//! part).
 
 mod differences;
 mod initial;
@@ -33,22 +34,22 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Largest document as JSON, in bytes: well within a record of the log.
+/// The maximum size of a document as JSON, in bytes; it fits easily in a record of the log.
 pub const MAX_DOCUMENT_BYTES: usize = 48 << 10;
 
-/// The key of a document that is wrong, and why.
+/// An invalid key of a document, and the reason.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("{key}: {reason}")]
 pub struct DocumentError {
     /// The key, such as `classes.send-sms.hard-limit`.
     pub key: String,
-    /// The range that its value has to be in, or the rule that it breaks.
+    /// The range that its value must be in, or the rule that it breaks.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
 impl DocumentError {
-    /// An error of `key`.
+    /// Makes an error of `key`.
     pub fn new(key: impl Into<String>, reason: impl Into<String>) -> Self {
         Self { key: key.into(), reason: reason.into() }
     }
@@ -57,26 +58,26 @@
 /// Whether a class's requests may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// A repeat has no further effect.
+    /// A repeated request has no further effect.
     #[serde(rename = "free")]
     Idempotent,
-    /// A repeat is dropped by the group of backends that has seen its idempotency key.
+    /// A repeated request is dropped by the group of backends that has seen its idempotency key.
     #[serde(rename = "guarded")]
     IdempotencyKey,
-    /// A repeat would take effect again.
+    /// A repeated request would take effect again.
     #[serde(rename = "single_shot")]
     NonIdempotent,
 }
 
-/// Which backends drop repeats of each other's requests.
+/// Which backends drop each other's repeated requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All backends.
     All,
-    /// Those of one zone.
+    /// The backends of one zone.
     Zone,
-    /// Those of one failure domain.
+    /// The backends of one failure domain.
     #[serde(rename = "cell")]
     FailureDomain,
 }
@@ -90,25 +91,25 @@
     /// Whether its requests may be sent again; needs a restart.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// Which backends drop repeats, for requests with an idempotency key; needs a restart.
+    /// Which backends drop repeated requests with an idempotency key; needs a restart.
     #[serde(rename = "group", default, skip_serializing_if = "Option::is_none")]
     pub deduplication_scope: Option<DeduplicationScope>,
-    /// For how many seconds a key is remembered; needs a restart.
+    /// How long an idempotency key is remembered, in seconds; needs a restart.
     #[serde(rename = "window", default, skip_serializing_if = "Option::is_none")]
     pub deduplication_window: Option<f64>,
     /// Whether requests with one key are served in order; needs a restart.
     #[serde(rename = "fifo-by-key", default, skip_serializing_if = "std::ops::Not::not")]
     pub ordered: bool,
-    /// Seconds within which a response has its full value.
+    /// The time within which a response has its full value, in seconds.
     #[serde(rename = "on-time")]
     pub latency_objective: f64,
-    /// Seconds after which a client has given up.
+    /// The time after which a client has stopped waiting, in seconds.
     #[serde(rename = "hard-limit")]
     pub deadline: f64,
-    /// The part of the priority weight that a response after the latency objective has.
+    /// The fraction of the priority weight that a response after the latency objective has.
     #[serde(rename = "late-worth", default)]
     pub late_weight: f64,
-    /// The value of a response within the latency objective, against other classes.
+    /// The value of a response within the latency objective, relative to other classes.
     #[serde(rename = "worth", default = "default_weight")]
     pub priority_weight: f64,
 }
@@ -128,26 +129,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, expecting = "struct ClassFloor")]
 pub struct FallbackClass {
-    /// Seconds within which a response has its full value.
+    /// The time within which a response has its full value, in seconds.
     #[serde(rename = "on-time")]
     pub latency_objective: f64,
-    /// Seconds after which a client has given up.
+    /// The time after which a client has stopped waiting, in seconds.
     #[serde(rename = "hard-limit")]
     pub deadline: f64,
 }
 
-/// What a detached proxy applies; needs a restart.
+/// The settings that a detached proxy applies; a change needs a restart.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, expecting = "struct Floor")]
 pub struct FallbackSettings {
-    /// By class.
+    /// The settings of each class.
     pub classes: BTreeMap<String, FallbackClass>,
     /// The quota of each tenant over the whole fleet, in requests per second.
     #[serde(rename = "projects")]
     pub tenants: BTreeMap<String, f64>,
     /// The maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Longest time that a rejected client is asked to wait, in seconds.
+    /// The longest time that a rejected client is asked to wait, in seconds.
     pub max_retry_after: f64,
 }
 
@@ -162,16 +163,16 @@
     pub tenants: Vec<Tenant>,
     /// The maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Longest time that a rejected client is asked to wait, in seconds; 0: it is not told to wait.
+    /// The longest time that a rejected client is asked to wait, in seconds; 0 if it is not asked to wait.
     #[serde(default)]
     pub max_retry_after: f64,
-    /// Priority weight of a request beyond its tenant's quota, as a part of the class's.
+    /// The priority weight of a request beyond its tenant's quota, as a fraction of the class's.
     #[serde(rename = "over-share-worth", default = "default_weight")]
     pub over_quota_weight: f64,
     /// Whether load is shed by priority weight under overload.
     #[serde(default = "default_shed")]
     pub shed: bool,
-    /// What a detached proxy applies.
+    /// The settings that a detached proxy applies.
     #[serde(rename = "floor")]
     pub fallback: FallbackSettings,
 }
@@ -188,7 +189,7 @@
     /// Reads a document from JSON and checks it.
     ///
     /// # Errors
-    /// The key that is unknown, missing or of another type, or as [`Document::check`] says.
+    /// The key that is unknown, missing or of another type, or an error of [`Document::check`].
     pub fn parse(json: &[u8]) -> Result<Self, DocumentError> {
         validation::check_size(json.len())?;
         let mut reader = serde_json::Deserializer::from_slice(json);
@@ -200,7 +201,7 @@
 
     /// Its size as JSON, in bytes.
     pub fn size(&self) -> usize {
-        // A checked document always serializes; one that did not would count as too large.
+        // A checked document always serializes; if serialization failed, the document would count as too large.
         serde_json::to_vec(self).map_or(MAX_DOCUMENT_BYTES + 1, |json| json.len())
     }
 }
--- a/src/agreement/document/tests.rs
+++ b/src/agreement/document/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use serde_json::{Value, json};
 
-/// A document like the site's.
+/// A document like a site's.
 pub fn sample() -> Value {
     json!({
         "classes": [
@@ -31,7 +31,7 @@
 
 #[test]
 fn errors_name_the_key_and_the_range_or_rule() {
-    let good = parse(|_| {}).expect("good");
+    let good = parse(|_| {}).expect("valid");
     let cases: [(&str, &str, Change); 15] = [
         ("max-attempts", "from 2 to 16, got 1", |v| v["max-attempts"] = json!(1)),
         ("max-attempts", "from 2 to 16, got 17", |v| v["max-attempts"] = json!(17)),
@@ -57,11 +57,11 @@
         ("over-share-worth", "from 0 to 1, got 1.5", |v| v["over-share-worth"] = json!(1.5)),
         ("atempts", "unknown field", |v| v["atempts"] = json!(3)),
     ];
-    for (key, why, change) in cases {
+    for (key, reason, change) in cases {
         let error = parse(change).expect_err(key);
-        assert!(error.key == key && error.reason.contains(why), "{key}: got {error}");
+        assert!(error.key == key && error.reason.contains(reason), "{key}: got {error}");
     }
-    let restart: [(&str, Change); 5] = [
+    let restart_only: [(&str, Change); 5] = [
         ("classes.send-batch.window", |v| v["classes"][1]["window"] = json!(11.0)),
         ("classes.status-check.effect", |v| v["classes"][0]["effect"] = json!("single_shot")),
         ("floor", |v| v["floor"]["max-attempts"] = json!(1)),
@@ -71,13 +71,13 @@
         }),
         ("classes.new", |v| {
             v["classes"][0]["name"] = json!("new");
-            let floors = v["floor"]["classes"].as_object_mut().expect("a table");
-            let floor = floors.remove("status-check").expect("a floor");
-            floors.insert("new".into(), floor);
+            let fallback_classes = v["floor"]["classes"].as_object_mut().expect("a table");
+            let fallback = fallback_classes.remove("status-check").expect("fallback settings");
+            fallback_classes.insert("new".into(), fallback);
         }),
     ];
-    for (key, change) in restart {
-        let error = parse(change).expect("good by itself").may_follow(&good).expect_err(key);
+    for (key, change) in restart_only {
+        let error = parse(change).expect("valid by itself").may_follow(&good).expect_err(key);
         assert!(error.key == key && error.reason.contains("restart"), "{key}: got {error}");
     }
     assert!(Document::parse(&vec![b' '; MAX_DOCUMENT_BYTES + 1]).is_err());
@@ -85,12 +85,12 @@
 
 #[test]
 fn documents_differ_by_the_keys_that_changed() {
-    let from = parse(|_| {}).expect("good");
+    let from = parse(|_| {}).expect("valid");
     let to = parse(|v| {
         v["classes"][1]["worth"] = json!(9.0);
         v["projects"][0]["quota-per-s"] = json!(20.0);
     });
-    let all = differences(&from, &to.expect("good"));
+    let all = differences(&from, &to.expect("valid"));
     let keys: Vec<&str> = all.iter().map(|d| d.key.as_str()).collect();
     assert_eq!(keys, ["classes.send-batch.worth", "projects.northgate-health.quota-per-s"]);
     assert_eq!((&all[0].from, &all[0].to), (&Some(json!(10.0)), &Some(json!(9.0))));
--- a/src/agreement/document/validation.rs
+++ b/src/agreement/document/validation.rs
@@ -1,26 +1,26 @@
-//! Which documents may enter the history: types, ranges and references, the fallback settings below everything else,
-//! and what may change without a restart of the fleet.
+//! Decides which documents may enter the history: checks types, ranges and references, that no version is below its
+//! fallback settings, and which keys may change without a restart of the fleet.
 
 use super::{Class, Document, DocumentError, FallbackSettings, Idempotency, MAX_DOCUMENT_BYTES, Tenant};
 use std::ops::RangeInclusive;
 
-/// Most classes.
+/// The maximum number of classes.
 const MAX_CLASSES: usize = 64;
 /// The maximum number of tenants.
 const MAX_TENANTS: usize = 512;
-/// Longest name, in characters.
+/// The maximum length of a name, in characters.
 const MAX_NAME_LENGTH: usize = 128;
-/// Most attempts of a request that a version may allow.
+/// The maximum number of attempts of a request that a version may allow.
 const MAX_ATTEMPTS: u32 = 16;
-/// Shortest latency objective, in seconds.
+/// The shortest latency objective, in seconds.
 const MIN_LATENCY_OBJECTIVE_S: f64 = 0.001;
-/// Longest time that a version may name, in seconds.
-const MAX_SPAN_S: f64 = 600.0;
-/// Longest time for which idempotency keys are remembered, in seconds.
+/// The longest time that a version may contain, in seconds.
+const MAX_DURATION_S: f64 = 600.0;
+/// The longest time for which idempotency keys are remembered, in seconds.
 const MAX_DEDUPLICATION_WINDOW_S: f64 = 86_400.0;
-/// Largest quota, in requests a second.
+/// The largest quota, in requests per second.
 const MAX_QUOTA_PER_S: f64 = 1e9;
-/// Largest priority weight.
+/// The largest priority weight.
 const MAX_PRIORITY_WEIGHT: f64 = 1e9;
 
 const RESTART_ONLY: &str = "may change with a restart of the fleet only";
@@ -72,10 +72,10 @@
 }
 
 impl Document {
-    /// Checks types, ranges and references, and that the fallback settings are below the rest.
+    /// Checks types, ranges and references, and that no value is below the fallback settings.
     ///
     /// # Errors
-    /// The first key that is wrong.
+    /// The first invalid key.
     pub fn check(&self) -> Result<(), DocumentError> {
         check_size(self.size())?;
         if !(1..=MAX_CLASSES).contains(&self.classes.len()) {
@@ -96,11 +96,11 @@
 
     fn check_limits(&self) -> Result<(), DocumentError> {
         let fallback = &self.fallback;
-        let (most, least) = (f64::from(MAX_ATTEMPTS), f64::from(fallback.max_attempts));
-        check_range("floor.max-attempts", least, 1.0..=most)?;
-        check_range("max-attempts", self.max_attempts.into(), least..=most)?;
-        check_range("floor.max-retry-after", fallback.max_retry_after, 0.0..=MAX_SPAN_S)?;
-        check_range("max-retry-after", self.max_retry_after, fallback.max_retry_after..=MAX_SPAN_S)?;
+        let (limit, fallback_attempts) = (f64::from(MAX_ATTEMPTS), f64::from(fallback.max_attempts));
+        check_range("floor.max-attempts", fallback_attempts, 1.0..=limit)?;
+        check_range("max-attempts", self.max_attempts.into(), fallback_attempts..=limit)?;
+        check_range("floor.max-retry-after", fallback.max_retry_after, 0.0..=MAX_DURATION_S)?;
+        check_range("max-retry-after", self.max_retry_after, fallback.max_retry_after..=MAX_DURATION_S)?;
         check_range("over-share-worth", self.over_quota_weight, 0.0..=1.0)
     }
 
@@ -115,22 +115,22 @@
         let window = class.deduplication_window.unwrap_or(0.0);
         check_range(key("window"), window, 0.0..=MAX_DEDUPLICATION_WINDOW_S)?;
         let fallback_key = format!("floor.classes.{}", class.name);
-        let Some(least) = self.fallback.classes.get(&class.name) else {
+        let Some(fallback) = self.fallback.classes.get(&class.name) else {
             return error(fallback_key, "is missing");
         };
         check_range(
             format!("{fallback_key}.on-time"),
-            least.latency_objective,
-            MIN_LATENCY_OBJECTIVE_S..=MAX_SPAN_S,
+            fallback.latency_objective,
+            MIN_LATENCY_OBJECTIVE_S..=MAX_DURATION_S,
         )?;
         check_range(
             format!("{fallback_key}.hard-limit"),
-            least.deadline,
-            least.latency_objective..=MAX_SPAN_S,
+            fallback.deadline,
+            fallback.latency_objective..=MAX_DURATION_S,
         )?;
-        check_range(key("on-time"), class.latency_objective, least.latency_objective..=MAX_SPAN_S)?;
-        let least_deadline = least.deadline.max(class.latency_objective);
-        check_range(key("hard-limit"), class.deadline, least_deadline..=MAX_SPAN_S)?;
+        check_range(key("on-time"), class.latency_objective, fallback.latency_objective..=MAX_DURATION_S)?;
+        let min_deadline = fallback.deadline.max(class.latency_objective);
+        check_range(key("hard-limit"), class.deadline, min_deadline..=MAX_DURATION_S)?;
         check_range(key("late-worth"), class.late_weight, 0.0..=1.0)?;
         check_range(key("worth"), class.priority_weight, 0.0..=MAX_PRIORITY_WEIGHT)
     }
@@ -140,11 +140,11 @@
         check_name("projects", &tenant.name)?;
         check_unique(key("name"), &tenant.name, self.tenants[..index].iter().map(|p| p.name.as_str()))?;
         let fallback_key = format!("floor.projects.{}", tenant.name);
-        let Some(least) = self.fallback.tenants.get(&tenant.name) else {
+        let Some(min_quota) = self.fallback.tenants.get(&tenant.name) else {
             return error(fallback_key, "is missing");
         };
-        check_range(fallback_key, *least, 0.0..=MAX_QUOTA_PER_S)?;
-        check_range(key("quota-per-s"), tenant.quota, *least..=MAX_QUOTA_PER_S)
+        check_range(fallback_key, *min_quota, 0.0..=MAX_QUOTA_PER_S)?;
+        check_range(key("quota-per-s"), tenant.quota, *min_quota..=MAX_QUOTA_PER_S)
     }
 
     fn class(&self, name: &str) -> Option<&Class> {
@@ -172,19 +172,19 @@
     /// The first key that differs and needs a restart.
     pub fn may_follow(&self, base: &Document) -> Result<(), DocumentError> {
         for class in &self.classes {
-            let Some(known) = base.class(&class.name) else {
+            let Some(base_class) = base.class(&class.name) else {
                 return error(format!("classes.{}", class.name), format!("is not known; {RESTART_ONLY}"));
             };
-            check_class_unchanged(class, known)?;
+            check_class_unchanged(class, base_class)?;
         }
-        if let Some(new) = self.tenants.iter().find(|tenant| !base.has_tenant(&tenant.name)) {
-            return error(format!("projects.{}", new.name), format!("is not known; {RESTART_ONLY}"));
+        if let Some(added) = self.tenants.iter().find(|tenant| !base.has_tenant(&tenant.name)) {
+            return error(format!("projects.{}", added.name), format!("is not known; {RESTART_ONLY}"));
         }
-        if let Some(gone) = base.classes.iter().find(|class| self.class(&class.name).is_none()) {
-            return error(format!("classes.{}", gone.name), format!("is missing; {RESTART_ONLY}"));
+        if let Some(removed) = base.classes.iter().find(|class| self.class(&class.name).is_none()) {
+            return error(format!("classes.{}", removed.name), format!("is missing; {RESTART_ONLY}"));
         }
-        if let Some(gone) = base.tenants.iter().find(|tenant| !self.has_tenant(&tenant.name)) {
-            return error(format!("projects.{}", gone.name), format!("is missing; {RESTART_ONLY}"));
+        if let Some(removed) = base.tenants.iter().find(|tenant| !self.has_tenant(&tenant.name)) {
+            return error(format!("projects.{}", removed.name), format!("is missing; {RESTART_ONLY}"));
         }
         match self.fallback == base.fallback {
             true => Ok(()),
@@ -193,13 +193,13 @@
     }
 }
 
-/// Checks that the keys of a class which need a restart are the same in `known`.
-fn check_class_unchanged(class: &Class, known: &Class) -> Result<(), DocumentError> {
+/// Checks that the keys of a class that need a restart are the same in `base`.
+fn check_class_unchanged(class: &Class, base: &Class) -> Result<(), DocumentError> {
     let unchanged = [
-        ("effect", class.idempotency == known.idempotency),
-        ("group", class.deduplication_scope == known.deduplication_scope),
-        ("window", class.deduplication_window == known.deduplication_window),
-        ("fifo-by-key", class.ordered == known.ordered),
+        ("effect", class.idempotency == base.idempotency),
+        ("group", class.deduplication_scope == base.deduplication_scope),
+        ("window", class.deduplication_window == base.deduplication_window),
+        ("fifo-by-key", class.ordered == base.ordered),
     ];
     match unchanged.into_iter().find(|(_, is_same)| !is_same) {
         Some((key, _)) => error(class_key(class, key), RESTART_ONLY),
--- a/src/agreement/follower/mod.rs
+++ b/src/agreement/follower/mod.rs
@@ -1,11 +1,11 @@
-//! A proxy's shell around [`SessionState`]: it watches the agreement at the list service, keeps its session, and tells
-//! its owner what to apply. It serves no requests itself, so that a list service that is down costs the proxy nothing
-//! but its attachment.
+//! Follows the agreement for a proxy, with the I/O around [`SessionState`]: it watches the agreement at the list service,
+//! maintains the proxy's session, and notifies its owner of what to apply. It serves no requests itself, so that an
+//! outage of the list service costs the proxy only its attachment.
 //!
-//! Two calls are out at most: a watch of the agreement (`watch`), and one of the session (`session`: opened, renewed
+//! At most two calls are in flight: a watch of the agreement (`watch`), and one of the session (`session`: opened, renewed
 //! each third of the TTL and at once when there is an offer to acknowledge). Each goes to one node and on to the next
-//! after a failure (`nodes`), with full jitter on the backoff, so that proxies that lost the same node come back spread
-//! out.
+//! after a failure (`nodes`), with full jitter on the backoff, so that proxies that lost the same node do not reconnect
+//! at the same time.
 
 mod nodes;
 mod session;
@@ -26,32 +26,32 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Added to the seed, so that other parts with the same seed draw other numbers.
+/// Combined with the seed, so that components with the same seed draw different numbers.
 const SEED_SALT: u64 = 0xa9_4ee;
 
-/// Who follows, and how.
+/// The configuration of a follower.
 #[derive(Clone, Debug)]
 pub struct FollowerConfig {
-    /// The proxy's name, for people.
+    /// The proxy's name, for display.
     pub name: String,
     /// The nodes of the list service.
     pub addresses: Vec<SocketAddr>,
     /// The session's TTL.
     pub ttl: Duration,
-    /// How fast its clock runs against real time, for fault tests.
+    /// The rate of its clock against real time, for fault tests.
     pub clock_rate: f64,
-    /// For the jitter, and for which node is called first.
+    /// The seed of the jitter, and of the choice of the first node to call.
     pub seed: u64,
 }
 
-/// What a proxy is to apply.
+/// What a proxy must apply.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Following {
-    /// What the fleet has agreed.
+pub enum AppliedAgreement {
+    /// The versions that the fleet has agreed on.
     Attached {
         /// Its slot, which no other proxy holds.
         slot: u32,
-        /// The settings version; 0: none was published.
+        /// The settings version; 0 if none was published.
         version: u64,
         /// That version's document.
         document: Option<Arc<Document>>,
@@ -62,16 +62,16 @@
     Detached,
 }
 
-/// What the follower needs of its proxy.
+/// What the follower requires of its proxy.
 pub trait Owner {
-    /// Whether a version can be applied here.
+    /// Checks that the proxy can apply a document.
     ///
     /// # Errors
-    /// The key that can't.
+    /// The key that the proxy can't apply.
     fn can_apply(&self, document: &Document) -> Result<(), DocumentError>;
     /// Applies this from now on.
-    fn follow(&self, following: &Following);
-    /// The endpoint list should be polled elsewhere: the service has named a revision that has not come.
+    fn follow(&self, following: &AppliedAgreement);
+    /// The endpoint list should be polled at another node: the service named a revision that has not arrived.
     fn list_is_behind(&self);
 }
 
@@ -83,24 +83,24 @@
     state: RefCell<SessionState>,
     documents: RefCell<BTreeMap<u64, Arc<Document>>>,
     members: RefCell<Rc<Members>>,
-    /// What the owner applies.
+    /// The attachment that the owner applies.
     applied: Cell<Attachment>,
     nodes: Nodes,
-    /// The service is to be called for the session at once.
+    /// Notified when the session's next call is due at once.
     session_call_due: Notify,
-    /// The watch is to begin anew at another node.
-    watch_moved: Notify,
-    /// The version last refused at the service.
-    refused: Cell<u64>,
+    /// Notified when the watch must restart at another node.
+    watch_restart: Notify,
+    /// The latest version refused at the service.
+    last_refused: Cell<u64>,
     is_closed: Cell<bool>,
     rng: RefCell<SmallRng>,
-    /// Why the session was not kept, as last logged: a line each time it changes.
+    /// The latest logged reason why the session could not be maintained; only a changed reason is logged.
     logged_failure: RefCell<String>,
 }
 
 impl Follower {
-    /// Starts following; the owner is told of every change, first when it is attached. Runs on the current thread's
-    /// `LocalSet` for as long as that lives.
+    /// Starts following; the owner is notified of every change, the first being its attachment. Runs on the current
+    /// thread's `LocalSet` for as long as that exists.
     pub fn start(config: FollowerConfig, owner: Box<dyn Owner>) -> Rc<Self> {
         let mut rng = SmallRng::seed_from_u64(config.seed ^ SEED_SALT);
         let first = rng.random_range(0..config.addresses.len().max(1));
@@ -112,8 +112,8 @@
             applied: Cell::new(Attachment::Detached),
             nodes: Nodes::new(config.addresses.clone(), first),
             session_call_due: Notify::new(),
-            watch_moved: Notify::new(),
-            refused: Cell::new(0),
+            watch_restart: Notify::new(),
+            last_refused: Cell::new(0),
             is_closed: Cell::new(false),
             rng: RefCell::new(rng),
             logged_failure: RefCell::default(),
@@ -121,42 +121,42 @@
             owner,
         });
         tokio::task::spawn_local(follower.clone().watch());
-        tokio::task::spawn_local(follower.clone().keep_session());
+        tokio::task::spawn_local(follower.clone().maintain_session());
         follower
     }
 
-    /// The endpoint list of revision `list` is applied by the proxy.
+    /// Records that the proxy has applied the endpoint list of revision `list`.
     pub fn list_applied(&self, list: u64) {
         self.state.borrow_mut().list_applied(list);
         self.refresh();
     }
 
-    /// The list service is at these addresses from now on.
+    /// Replaces the addresses of the list service.
     pub fn move_to(&self, addresses: Vec<SocketAddr>) {
         if self.nodes.replace(addresses) {
-            self.watch_moved.notify_one();
+            self.watch_restart.notify_one();
             self.session_call_due.notify_one();
         }
     }
 
-    /// Tells the owner what to apply, where that has changed. Called before every decision, so that a proxy that was
-    /// stopped beyond its bound decides nothing by what applied before.
+    /// Notifies the owner of what to apply, if that has changed. Called before every decision, so that a proxy that was
+    /// suspended beyond its attachment decides nothing by outdated settings.
     pub fn refresh(&self) {
         let attachment = self.attachment();
         if self.applied.replace(attachment) != attachment {
-            self.owner.follow(&self.following(attachment));
+            self.owner.follow(&self.applied_agreement(attachment));
         }
     }
 
-    /// Whether the proxy is attached at this moment, and by what.
+    /// Whether the proxy is attached now, and to which slot and versions.
     pub fn attachment(&self) -> Attachment {
         self.state.borrow().attachment(self.clock.now())
     }
 
-    fn following(&self, attachment: Attachment) -> Following {
+    fn applied_agreement(&self, attachment: Attachment) -> AppliedAgreement {
         match attachment {
-            Attachment::Detached => Following::Detached,
-            Attachment::Attached { slot, version, .. } => Following::Attached {
+            Attachment::Detached => AppliedAgreement::Detached,
+            Attachment::Attached { slot, version, .. } => AppliedAgreement::Attached {
                 slot,
                 version,
                 document: self.documents.borrow().get(&version).cloned(),
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Whether a version that is here can be applied.
+    /// Checks that the proxy can apply a version whose document was received.
     fn can_apply(&self, version: u64) -> Result<(), DocumentError> {
         let document = self.documents.borrow().get(&version).cloned();
         document.map_or(Ok(()), |document| self.owner.can_apply(&document))
--- a/src/agreement/follower/nodes.rs
+++ b/src/agreement/follower/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes of the list service: which of them each kind of call goes to, and how long a failed one waits.
+//! The nodes of the list service: which node each kind of call goes to, and the backoff after a failed call.
 
 use crate::http_client::HttpClient;
 use rand::Rng;
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The first backoff after a call that failed.
+/// The backoff after the first failed call.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 /// The longest backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The kinds of calls, each of which goes to a node of its own choice.
+/// The kinds of calls; each kind has its own current node.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum CallKind {
     Watch,
@@ -21,17 +21,17 @@
 /// The nodes.
 pub(super) struct Nodes {
     addresses: RefCell<Vec<SocketAddr>>,
-    /// How many nodes the watch and the session have moved on, from the first one.
+    /// The position of the watch and of the session in the list of nodes; it wraps around.
     positions: [Cell<usize>; 2],
 }
 
 impl Nodes {
-    /// Nodes at `addresses`, of which number `first` is called first.
+    /// Nodes at `addresses`; the one with index `first` is called first.
     pub fn new(addresses: Vec<SocketAddr>, first: usize) -> Self {
         Self { addresses: RefCell::new(addresses), positions: [Cell::new(first), Cell::new(first)] }
     }
 
-    /// The nodes are at these addresses from now on; whether that is a change.
+    /// Replaces the nodes' addresses; returns whether they changed.
     pub fn replace(&self, addresses: Vec<SocketAddr>) -> bool {
         let is_change = *self.addresses.borrow() != addresses;
         *self.addresses.borrow_mut() = addresses;
@@ -42,20 +42,20 @@
         &self.positions[kind as usize]
     }
 
-    /// The node that calls of this kind go to, not yet connected.
+    /// A client of the node that calls of this kind go to, not yet connected.
     pub fn client(&self, kind: CallKind) -> HttpClient {
         let addresses = self.addresses.borrow();
         HttpClient::new(addresses[self.position(kind).get() % addresses.len().max(1)])
     }
 
-    /// Calls of this kind go to the next node from now on.
+    /// Moves calls of this kind on to the next node.
     pub fn advance(&self, kind: CallKind) {
         let position = self.position(kind);
         position.set(position.get() + 1);
     }
 }
 
-/// The backoff of one kind of call: exponential, each wait drawn from the whole of it ("full jitter").
+/// The exponential backoff of one kind of call; each wait is drawn from the whole range ("full jitter").
 pub(super) struct Backoff {
     current: Duration,
 }
@@ -65,12 +65,12 @@
         Self { current: MIN_BACKOFF }
     }
 
-    /// A call has succeeded.
+    /// Resets the backoff after a successful call.
     pub fn reset(&mut self) {
         self.current = MIN_BACKOFF;
     }
 
-    /// How long to wait after a call that has failed.
+    /// How long to wait after a failed call.
     pub fn next_wait(&mut self, rng: &mut impl Rng) -> Duration {
         let wait = self.current.mul_f64(rng.random_range(0.0..=1.0));
         self.current = (2 * self.current).min(MAX_BACKOFF);
--- a/src/agreement/follower/session.rs
+++ b/src/agreement/follower/session.rs
@@ -1,10 +1,10 @@
-//! The session: opening, renewals, refusals and the close.
+//! The session: its opening, renewals, refusals and close.
 
 use super::Follower;
 use super::nodes::{Backoff, CallKind};
 use crate::agreement::calls::{CloseRequest, ErrorReply, OpenReply, OpenRequest, RefuseRequest};
 use crate::agreement::session_state::UnappliedRenewal;
-use crate::agreement::state::{AppliedVersions, Renewal};
+use crate::agreement::state::{Renewal, RequiredRevisions};
 use crate::http_client::{CallError, HttpClient, post_json};
 use bytes::Bytes;
 use hyper::{Response, StatusCode};
@@ -13,15 +13,15 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Longest timeout of a call of the session, whatever the TTL.
+/// The maximum timeout of a call of the session, for any TTL.
 const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long the close of a session may take when its proxy shuts down.
+/// The timeout of the close of a session when its proxy shuts down.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Why a call of the session did not succeed.
+/// Why a call of the session failed.
 #[derive(Debug, Error)]
 enum SessionError {
-    /// No reply came, or none that can be read.
+    /// No reply arrived, or it could not be read.
     #[error(transparent)]
     Call(#[from] CallError),
     /// The node rejected the call.
@@ -35,13 +35,13 @@
         Self::Rejected { status: reply.status(), message: error }
     }
 
-    /// Whether the call conflicts with the state at the service.
+    /// Whether the call was rejected because it conflicts with the service's state.
     fn is_conflict(&self) -> bool {
         matches!(self, Self::Rejected { status: StatusCode::CONFLICT, .. })
     }
 }
 
-/// The value in a reply of status 200.
+/// Parses the value in a reply of status 200.
 fn value_of<T: serde::de::DeserializeOwned>(reply: &Response<Bytes>) -> Result<T, SessionError> {
     match reply.status() {
         StatusCode::OK => Ok(serde_json::from_slice(reply.body()).map_err(CallError::Json)?),
@@ -50,7 +50,8 @@
 }
 
 impl Follower {
-    /// Gives the session up, detached at once, and closes it at the service as far as that is quickly possible.
+    /// Relinquishes the session, which detaches the proxy at once, and tries to close it at the service within
+    /// [`CLOSE_TIMEOUT`].
     pub async fn close(&self) {
         self.is_closed.set(true);
         let session = self.state.borrow_mut().close();
@@ -83,8 +84,8 @@
         client.call(post_json(path, body)?, self.call_timeout()).await
     }
 
-    /// Keeps a session, for as long as the proxy runs and has not closed it.
-    pub(super) async fn keep_session(self: Rc<Self>) {
+    /// Maintains a session for as long as the proxy runs and has not closed it.
+    pub(super) async fn maintain_session(self: Rc<Self>) {
         let (mut client, mut backoff) = (self.nodes.client(CallKind::Session), Backoff::new());
         let mut due = self.clock.now();
         loop {
@@ -97,11 +98,11 @@
                 continue;
             }
             let sent_at = self.clock.now();
-            let called = self.call_service(&mut client, sent_at).await;
+            let result = self.call_service(&mut client, sent_at).await;
             if self.is_closed.get() {
                 return;
             }
-            due = match called {
+            due = match result {
                 Ok(next) => {
                     backoff.reset();
                     sent_at + next
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Waits for the next call of the session, or for the end of the attachment, which is then noticed at once; when
-    /// the next call is due.
+    /// Waits until the session's next call is due, or until the attachment ends, so that its end takes effect at once;
+    /// returns when the next call is due.
     async fn wait_until(&self, due: Instant) -> Instant {
         let now = self.clock.now();
         let attached_until = self.state.borrow().attached_until().filter(|end| *end > now);
@@ -129,14 +130,14 @@
         }
     }
 
-    /// One call: a refusal, an opening or a renewal. After what time the next is due.
+    /// Makes one call: a refusal, an opening or a renewal. Returns the time from `sent_at` to the next call.
     async fn call_service(
         &self,
         client: &mut HttpClient,
         sent_at: Instant,
     ) -> Result<Duration, SessionError> {
         let unsupported = self.state.borrow().unsupported();
-        if let Some(version) = unsupported.filter(|version| self.refused.get() != *version) {
+        if let Some(version) = unsupported.filter(|version| self.last_refused.get() != *version) {
             self.refuse(client, version).await?;
             return Ok(Duration::ZERO);
         }
@@ -156,7 +157,7 @@
         if reply.status() == StatusCode::SERVICE_UNAVAILABLE {
             return Err(SessionError::rejected(&reply));
         }
-        self.refused.set(version);
+        self.last_refused.set(version);
         Ok(())
     }
 
@@ -167,7 +168,7 @@
         sent_at: Instant,
     ) -> Result<Duration, SessionError> {
         let reply = self.call(client, "/v1/session/renew", renewal).await?;
-        match value_of::<AppliedVersions>(&reply) {
+        match value_of::<RequiredRevisions>(&reply) {
             Ok(required) => {
                 let oldest = self.state.borrow().unapplied_renewals().next().copied();
                 self.state.borrow_mut().renewed(renewal.session, sent_at, required);
@@ -183,12 +184,13 @@
         }
     }
 
-    /// Looks elsewhere for what an earlier reply named and has not come by the next: another node may have it.
+    /// Moves the watch or the list's polls to another node if a revision that an earlier reply named has not arrived by
+    /// the next reply.
     fn catch_up(&self, oldest: Option<UnappliedRenewal>) {
         let Some(oldest) = oldest else { return };
         if oldest.required.agreed > self.state.borrow().announced().revision {
             self.nodes.advance(CallKind::Watch);
-            self.watch_moved.notify_one();
+            self.watch_restart.notify_one();
         } else {
             self.owner.list_is_behind();
         }
@@ -196,13 +198,13 @@
 
     async fn open(&self, client: &mut HttpClient, sent_at: Instant) -> Result<Duration, SessionError> {
         if self.state.borrow().is_blocked() {
-            // The next version may be one that can be applied; the watch reports it.
+            // The proxy may be able to apply the next version, which the watch reports.
             return Ok(self.config.ttl);
         }
-        let number = self.state.borrow_mut().open(sent_at);
-        let holds = self.state.borrow().acknowledged();
+        let number = self.state.borrow_mut().begin_open(sent_at);
+        let acknowledged = self.state.borrow().acknowledged();
         let ttl_ms = self.config.ttl.as_millis() as u64;
-        let request = OpenRequest { name: &self.config.name, ttl_ms, holds };
+        let request = OpenRequest { name: &self.config.name, ttl_ms, acknowledged };
         let reply = self.call(client, "/v1/session/open", &request).await?;
         match value_of::<OpenReply>(&reply) {
             Ok(OpenReply { session, slot, required }) => {
@@ -210,18 +212,18 @@
                 self.logged_failure.borrow_mut().clear();
                 self.state.borrow_mut().granted(number, session, slot, required);
             }
-            // What is offered has to come first: the watch brings it, and the session is opened at once then.
+            // The offered version must be received first, by the watch, which then has the session opened at once.
             Err(error) if error.is_conflict() => {}
             Err(error) => return Err(error),
         }
         Ok(self.renewal_interval())
     }
 
-    /// Logs why the session is not kept, each time that the reason changes.
+    /// Logs why the session could not be maintained, each time that the reason changes.
     fn log_failure(&self, error: &SessionError) {
         let reason = error.to_string();
         if *self.logged_failure.borrow() != reason {
-            tracing::warn!(%reason, "session is not kept");
+            tracing::warn!(%reason, "session could not be maintained");
             *self.logged_failure.borrow_mut() = reason;
         }
     }
--- a/src/agreement/follower/watch.rs
+++ b/src/agreement/follower/watch.rs
@@ -1,4 +1,4 @@
-//! The watch: long polls of `GET /v1/agreed`, and the announcements that come of them.
+//! The watch: long polls of `GET /v1/agreed`, and the announcements that they return.
 
 use super::Follower;
 use super::nodes::{Backoff, CallKind};
@@ -11,22 +11,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a watch waits for a change: a node that has fallen silent is noticed after that.
+/// How long a poll waits for a change, and so how long an unresponsive node goes unnoticed.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
-/// How much longer than that its reply may take.
+/// The time allowed for the reply, in addition to the wait of a long poll.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Follower {
-    /// Follows what is agreed, for as long as the proxy runs.
+    /// Watches the agreement for as long as the proxy runs.
     pub(super) async fn watch(self: Rc<Self>) {
-        let (mut client, mut backoff, mut is_known) =
+        let (mut client, mut backoff, mut has_view) =
             (self.nodes.client(CallKind::Watch), Backoff::new(), false);
         loop {
-            let (request, timeout) = self.watch_request(is_known);
+            let (request, timeout) = self.watch_request(has_view);
             let reply = tokio::select! {
-                biased; // a reply that has come is used
+                biased; // a reply that has arrived is used
                 reply = client.call(request, timeout) => reply,
-                () = self.watch_moved.notified() => {
+                () = self.watch_restart.notified() => {
                     client = self.nodes.client(CallKind::Watch);
                     backoff.reset();
                     continue;
@@ -35,7 +35,7 @@
             match reply {
                 Ok(reply) if reply.status() == StatusCode::OK && self.apply_view(reply.body()) => {
                     backoff.reset();
-                    is_known = true;
+                    has_view = true;
                 }
                 _ => {
                     self.nodes.advance(CallKind::Watch);
@@ -47,29 +47,29 @@
         }
     }
 
-    /// The next poll, and its timeout: a long one once something is known.
-    fn watch_request(&self, is_known: bool) -> (Request<Full<Bytes>>, Duration) {
-        let have: Vec<String> = self.documents.borrow().keys().map(ToString::to_string).collect();
-        let have = have.join(",");
-        let (path, timeout) = if is_known {
+    /// The next poll and its timeout; it is a long poll once a first view was received.
+    fn watch_request(&self, has_view: bool) -> (Request<Full<Bytes>>, Duration) {
+        let known: Vec<String> = self.documents.borrow().keys().map(ToString::to_string).collect();
+        let known = known.join(",");
+        let (path, timeout) = if has_view {
             let since = self.state.borrow().announced().revision;
             let wait_ms = WATCH_WAIT.as_millis();
-            let path = format!("/v1/agreed?since={since}&timeout_ms={wait_ms}&have={have}");
+            let path = format!("/v1/agreed?since={since}&timeout_ms={wait_ms}&have={known}");
             (path, WATCH_WAIT + REPLY_TIMEOUT)
         } else {
-            (format!("/v1/agreed?have={have}"), REPLY_TIMEOUT)
+            (format!("/v1/agreed?have={known}"), REPLY_TIMEOUT)
         };
         let request = Request::get(path).header("host", "list").body(Full::new(Bytes::new()));
         (request.unwrap_or_default(), timeout)
     }
 
-    /// Applies what a node says is agreed; whether that could be read and is complete.
+    /// Applies a node's view of the agreement; returns whether it could be read and is complete.
     fn apply_view(&self, body: &[u8]) -> bool {
         let Ok(view) = serde_json::from_slice::<AgreementView>(body) else { return false };
         let AgreementView { revision, members, committed, offered } = view;
         let (Some(committed), Some(offered)) = (self.add_document(committed), self.add_document(offered))
         else {
-            // All documents are asked for again.
+            // The next poll requests all documents again.
             self.documents.borrow_mut().clear();
             return false;
         };
@@ -81,14 +81,15 @@
             }
         }
         let can_apply = |version| self.can_apply(version).is_ok();
-        if self.state.borrow_mut().announce(announcement, can_apply) {
+        if self.state.borrow_mut().receive(announcement, can_apply) {
             self.session_call_due.notify_one();
         }
         self.refresh();
         true
     }
 
-    /// Keeps the document of a version, if it has one; the version (0: none), or `None` where its document is not here.
+    /// Stores the document of a version, if the view has one. Returns the version (0 without a view), or `None` if its
+    /// document was never received.
     fn add_document(&self, view: Option<SettingsView>) -> Option<u64> {
         let Some(SettingsView { version, document }) = view else { return Some(0) };
         let mut documents = self.documents.borrow_mut();
--- a/src/agreement/session_state.rs
+++ b/src/agreement/session_state.rs
@@ -1,52 +1,53 @@
 //! A proxy's part of the agreement as a pure state machine: what the service has announced, what the proxy has applied,
-//! and whether it is attached. It is given the time; the shell (`follower`) makes its calls.
+//! and whether it is attached. The caller passes the time; the `follower` makes the calls.
 //!
-//! **Attached** is a proxy that has renewed its session, and has applied all that the service had announced to the
-//! fleet when that renewal was applied; it stays so for [`crate::lease::holder_validity`] of the TTL after the renewal was *sent*,
-//! by its own clock. Everything else is **detached**. So, with `s` the sending of the renewal that a proxy relies on,
-//! `r >= s` its application, and drift of the proxy's and the leader's clock within [`crate::lease::MAX_CLOCK_DRIFT`] together:
+//! A proxy is **attached** if it has renewed its session, and has applied everything that the service had announced to
+//! the fleet when that renewal was applied. It stays attached for `held` = [`crate::lease::holder_validity`] of the TTL
+//! after the renewal was *sent*, by its own clock. Otherwise it is **detached**. Let `s` be the time at which the proxy
+//! sent the renewal that it relies on, and `r >= s` the time at which the service applied it, with the drift of the
+//! proxy's and the leader's clocks within [`crate::lease::MAX_CLOCK_DRIFT`] together. Then:
 //! - *Slots.* The service keeps the session, and so the slot, until `r + ttl >= s + ttl` at the earliest, and the
-//!   proxy gives it up at `s + held < s + ttl`. No two proxies hold a slot at one time: W is 0.
-//! - *Settings, membership, the endpoint list.* Let a change be committed at `c`, and a proxy act on what was before
-//!   at `t > c`. Its renewal was applied before `c` (else the reply had named the change, which it has not applied),
-//!   so `s <= r < c` and `t < s + held < c + ttl`. W is the TTL of the session, whatever is lost, late, repeated
-//!   or out of order; usually it is the time in which the notification is delivered.
+//!   proxy stops using it at `s + held < s + ttl`. No two proxies hold a slot at the same time: W is 0.
+//! - *Settings, membership, the endpoint list.* Let a change be committed at `c`, and a proxy act on the previous state
+//!   at `t > c`. Its renewal was applied before `c` (otherwise the reply would have named the change, which it has not
+//!   applied), so `s <= r < c` and `t < s + held < c + ttl`. W is the TTL of the session, even if messages are lost,
+//!   late, repeated or reordered; usually it is the time in which the notification is delivered.
 //! - A *detached* proxy applies the fallback settings (`document`), which contradict no version.
 
-use super::state::{AppliedVersions, Renewal};
+use super::state::{Renewal, RequiredRevisions};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Most answered renewals whose required versions are not applied yet; further ones are not counted, which only ends
-/// the attachment sooner.
+/// The maximum number of answered renewals whose required revisions are not applied yet. Further ones are not counted,
+/// which only ends the attachment sooner.
 const MAX_UNAPPLIED_RENEWALS: usize = 8;
 
-/// What the service announces to its watchers, by number.
+/// The revisions and versions that the service announces to its watchers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Announcement {
     /// The revision of the latest change.
     pub revision: u64,
     /// The membership's revision.
     pub members: u64,
-    /// The committed version; 0: none.
+    /// The committed version; 0 if none.
     pub committed: u64,
-    /// The offered version; 0: none.
+    /// The offered version; 0 if none.
     pub offered: u64,
 }
 
-/// Whether a proxy acts as the fleet has agreed.
+/// Whether a proxy acts on the fleet's agreement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Attachment {
-    /// By its slot and the versions that all attached proxies follow within W.
+    /// It acts under its slot and on the versions that all attached proxies follow within W.
     Attached {
         /// Its slot.
         slot: u32,
-        /// The settings version; 0: none was published, each proxy's own configuration applies.
+        /// The settings version; 0 if none was published, and each proxy's own configuration applies.
         version: u64,
         /// The membership's revision.
         members: u64,
     },
-    /// By the fallback settings, without a slot.
+    /// It applies the fallback settings, without a slot.
     Detached,
 }
 
@@ -64,19 +65,19 @@
     sent_at: Instant,
 }
 
-/// A renewal that was answered, and counts once what the reply names has been applied.
+/// A renewal that was answered. It counts once the revisions that the reply names have been applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct UnappliedRenewal {
     /// When it was sent.
     pub sent_at: Instant,
-    /// What must be applied for it to count.
-    pub required: AppliedVersions,
+    /// The revisions that must be applied for it to count.
+    pub required: RequiredRevisions,
 }
 
 /// The state of one proxy's session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SessionState {
-    /// How long a renewal is relied on after it was sent.
+    /// How long the proxy relies on a renewal after it was sent.
     attachment_duration: Duration,
     session: Option<GrantedSession>,
     pending_open: Option<PendingOpen>,
@@ -87,7 +88,7 @@
     /// When the latest renewal that counts was sent.
     renewed_at: Option<Instant>,
     announced: Announcement,
-    /// The revision of the endpoint list that is applied.
+    /// The revision of the applied endpoint list.
     list: u64,
     /// The latest version that the proxy has and can apply.
     acknowledged: u64,
@@ -96,8 +97,8 @@
 }
 
 impl SessionState {
-    /// A proxy that knows nothing yet, detached; it stays attached for `attachment_duration` after the sending of a
-    /// renewal.
+    /// The state of a proxy that has not received anything yet and is detached. A renewal keeps it attached for
+    /// `attachment_duration` after it was sent.
     pub fn new(attachment_duration: Duration) -> Self {
         Self {
             attachment_duration,
@@ -113,9 +114,9 @@
         }
     }
 
-    /// Applies an announcement; `can_apply` says whether a version can be applied here. Returns whether the service
-    /// is to be called at once: with an acknowledgement, or a refusal. What is older than what is known is passed over.
-    pub fn announce(&mut self, announcement: Announcement, can_apply: impl Fn(u64) -> bool) -> bool {
+    /// Applies an announcement; `can_apply` returns whether the proxy can apply a version. Returns whether the service
+    /// must be called at once, with an acknowledgement or a refusal. An announcement older than the latest is ignored.
+    pub fn receive(&mut self, announcement: Announcement, can_apply: impl Fn(u64) -> bool) -> bool {
         if announcement.revision < self.announced.revision {
             return false;
         }
@@ -134,21 +135,21 @@
         must_call
     }
 
-    /// The endpoint list of revision `list` is applied.
+    /// Records that the endpoint list of revision `list` is applied.
     pub fn list_applied(&mut self, list: u64) {
         self.list = self.list.max(list);
         self.count_applied_renewals();
     }
 
-    /// A session is asked for at `now`; the number of this call. Replies to earlier ones are void.
-    pub fn open(&mut self, now: Instant) -> u64 {
+    /// Records a call to open a session at `now` and returns its number. Replies to earlier calls are void.
+    pub fn begin_open(&mut self, now: Instant) -> u64 {
         self.open_number += 1;
         self.pending_open = Some(PendingOpen { number: self.open_number, sent_at: now });
         self.open_number
     }
 
-    /// The call to open with this number was granted.
-    pub fn granted(&mut self, number: u64, session: u64, slot: u32, required: AppliedVersions) {
+    /// Records that the call to open with this number was granted.
+    pub fn granted(&mut self, number: u64, session: u64, slot: u32, required: RequiredRevisions) {
         let Some(open) = self.pending_open.filter(|open| open.number == number) else { return };
         self.pending_open = None;
         self.clear_session();
@@ -156,21 +157,21 @@
         self.add_renewal(open.sent_at, required);
     }
 
-    /// A renewal of `session` sent at `sent_at` was accepted.
-    pub fn renewed(&mut self, session: u64, sent_at: Instant, required: AppliedVersions) {
+    /// Records that a renewal of `session` sent at `sent_at` was accepted.
+    pub fn renewed(&mut self, session: u64, sent_at: Instant, required: RequiredRevisions) {
         if self.session() == Some(session) {
             self.add_renewal(sent_at, required);
         }
     }
 
-    /// The service says that `session` has ended.
+    /// Records that the service reported the end of `session`.
     pub fn lost(&mut self, session: u64) {
         if self.session() == Some(session) {
             self.clear_session();
         }
     }
 
-    /// Gives the session up, detached from now on; the session, to be closed at the service.
+    /// Relinquishes the session and detaches; returns the session to close at the service.
     pub fn close(&mut self) -> Option<u64> {
         self.pending_open = None;
         let session = self.session();
@@ -184,17 +185,17 @@
         self.unapplied_renewals.clear();
     }
 
-    fn add_renewal(&mut self, sent_at: Instant, required: AppliedVersions) {
+    fn add_renewal(&mut self, sent_at: Instant, required: RequiredRevisions) {
         let mut unapplied = self.unapplied_renewals.iter_mut();
-        if let Some(same) = unapplied.find(|renewal| renewal.required == required) {
-            same.sent_at = sent_at.max(same.sent_at);
+        if let Some(existing) = unapplied.find(|renewal| renewal.required == required) {
+            existing.sent_at = sent_at.max(existing.sent_at);
         } else if self.unapplied_renewals.len() < MAX_UNAPPLIED_RENEWALS {
             self.unapplied_renewals.push_back(UnappliedRenewal { sent_at, required });
         }
         self.count_applied_renewals();
     }
 
-    /// Relies on the renewals whose required versions are applied.
+    /// Counts the renewals whose required revisions are applied.
     fn count_applied_renewals(&mut self) {
         let (agreed, list) = (self.announced.revision, self.list);
         let renewed_at = &mut self.renewed_at;
@@ -207,12 +208,12 @@
         });
     }
 
-    /// When its attachment ends, by its own clock, if nothing more comes.
+    /// When its attachment ends, by its own clock, if it receives nothing more.
     pub fn attached_until(&self) -> Option<Instant> {
         self.renewed_at.filter(|_| !self.is_blocked()).map(|sent_at| sent_at + self.attachment_duration)
     }
 
-    /// Whether it is attached at `now`, and by what.
+    /// Whether it is attached at `now`, and to which slot and versions.
     pub fn attachment(&self, now: Instant) -> Attachment {
         match (self.session, self.attached_until()) {
             (Some(GrantedSession { slot, .. }), Some(end)) if now < end => Attachment::Attached {
@@ -224,19 +225,19 @@
         }
     }
 
-    /// Its session, attached or not: one that could not be renewed in time may still be live.
+    /// Its session, even while detached: a session that could not be renewed in time may still be live.
     pub fn session(&self) -> Option<u64> {
         self.session.map(|session| session.id)
     }
 
-    /// What a renewal at `now` reports, where there is a session.
+    /// The renewal to send at `now`, if there is a session.
     pub fn renewal(&self, now: Instant) -> Option<Renewal> {
         let (active_version, members) = match self.attachment(now) {
             Attachment::Attached { version, members, .. } => (version, members),
             Attachment::Detached => (0, 0),
         };
         let session = self.session()?;
-        Some(Renewal { session, holds: self.acknowledged, active_version, members, list: self.list })
+        Some(Renewal { session, acknowledged: self.acknowledged, active_version, members, list: self.list })
     }
 
     /// The latest version that it has and can apply.
@@ -244,23 +245,23 @@
         self.acknowledged
     }
 
-    /// The latest version that it can't apply, if that still is committed or offered.
+    /// The latest version that it can't apply, if that is still committed or offered.
     pub fn unsupported(&self) -> Option<u64> {
         let Announcement { committed, offered, .. } = self.announced;
         self.unsupported.filter(|version| [committed, offered].contains(version))
     }
 
-    /// Whether it can't apply what is committed, and so must not join.
+    /// Whether it can't apply the committed version, and so must not join.
     pub fn is_blocked(&self) -> bool {
         self.unsupported == Some(self.announced.committed)
     }
 
-    /// What was announced last.
+    /// The latest announcement.
     pub fn announced(&self) -> Announcement {
         self.announced
     }
 
-    /// Renewals that were answered and do not count yet, oldest first.
+    /// Answered renewals that do not count yet, oldest first.
     pub fn unapplied_renewals(&self) -> impl Iterator<Item = &UnappliedRenewal> {
         self.unapplied_renewals.iter()
     }
--- a/src/agreement/state/membership.rs
+++ b/src/agreement/state/membership.rs
@@ -1,4 +1,4 @@
-//! The membership: which slots belong to a live session, as watchers are notified of it.
+//! The membership, of which watchers are notified: the slots that belong to a live session.
 
 use super::sessions::Sessions;
 use serde::{Deserialize, Serialize};
@@ -9,21 +9,21 @@
 pub struct Members {
     /// The revision at which it was computed.
     pub revision: u64,
-    /// The slots, rising.
+    /// The slots, in ascending order.
     pub slots: Vec<u32>,
 }
 
-/// The membership, recomputed from the sessions at most once each tick of the log's clock, so that a fleet that starts
-/// at once does not wake every watcher once for each of its proxies.
+/// The membership, recomputed from the sessions at most once per tick of the log's clock, so that a fleet whose proxies
+/// all start at once does not wake every watcher once for each proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Membership {
     pub members: Members,
-    /// Sessions have been opened or have ended since.
+    /// Whether sessions have been opened or have ended since it was computed.
     pub is_stale: bool,
 }
 
 impl Membership {
-    /// Recomputes it if it is stale; whether it has changed, under a new revision then.
+    /// Recomputes the membership if it is stale; returns whether it has changed, which makes a new revision.
     pub fn update(&mut self, sessions: &Sessions, revision: &mut u64) -> bool {
         if !std::mem::take(&mut self.is_stale) {
             return false;
--- a/src/agreement/state/sessions.rs
+++ b/src/agreement/state/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: each a lease of one proxy on the slot that it holds, from opening to end.
+//! Sessions: each is one proxy's lease on its slot, from its opening to its end.
 
 use super::command::{AgreementError, Renewal};
 use super::versions::Offer;
@@ -6,16 +6,16 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::RangeInclusive;
 
-/// Shortest and longest TTL of a session, in milliseconds.
+/// The range of a session's TTL, in milliseconds.
 pub const TTL_RANGE_MS: RangeInclusive<u64> = 500..=60_000;
-/// Most sessions at once.
+/// The maximum number of live sessions.
 pub const MAX_SESSIONS: usize = 4_096;
-/// Most ended sessions retained, for whoever asks for the fleet's status.
+/// The maximum number of ended sessions that are retained for the fleet's status.
 pub const MAX_ENDED_SESSIONS: usize = 2_048;
 
-/// Why a session ended that its owner closed.
+/// The reason why a session ended that its owner closed.
 pub(super) const CLOSED: &str = "closed";
-/// Why a session ended that was not renewed in time.
+/// The reason why a session ended that was not renewed in time.
 pub(super) const EXPIRED: &str = "ran out";
 
 /// A session of a live proxy.
@@ -23,7 +23,7 @@
 pub struct Session {
     /// Its proxy's name.
     pub name: String,
-    /// Its slot: the lowest that was free.
+    /// Its slot: the lowest one that was free.
     pub slot: u32,
     /// Its TTL in milliseconds.
     pub ttl_ms: u64,
@@ -31,13 +31,13 @@
     pub expires_at_ms: u64,
     /// The latest version that it has acknowledged.
     pub acknowledged: u64,
-    /// What its proxy reported last.
+    /// The latest report of its proxy.
     #[serde(rename = "said")]
     pub last_renewal: Renewal,
 }
 
 impl Session {
-    /// Whether it has let its TTL pass since the offer without acknowledging it.
+    /// Whether it has not acknowledged the offer within its TTL.
     pub(super) fn is_overdue(&self, offer: Offer, now_ms: u64) -> bool {
         offer.version > self.acknowledged && now_ms > offer.offered_at_ms + self.ttl_ms
     }
@@ -46,24 +46,24 @@
 /// A session that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EndedSession {
-    /// Its number; 0 for a proxy that never had one, since it can't apply what is committed.
+    /// The session; 0 for a proxy that had none, since it can't apply the committed version.
     pub session: u64,
     /// Its proxy's name.
     pub name: String,
     /// Its slot.
     pub slot: u32,
-    /// What its proxy reported last.
+    /// The latest report of its proxy.
     #[serde(rename = "said")]
     pub last_renewal: Renewal,
     /// Why it ended.
     #[serde(rename = "why")]
     pub reason: String,
-    /// When, on the log's clock.
+    /// When it ended, on the log's clock.
     #[serde(rename = "at_ms")]
     pub ended_at_ms: u64,
 }
 
-/// Checks the TTL that a proxy asks for.
+/// Checks the TTL that a proxy requests.
 pub(super) fn check_ttl(ttl_ms: u64) -> Result<(), AgreementError> {
     match TTL_RANGE_MS.contains(&ttl_ms) {
         true => Ok(()),
@@ -77,7 +77,7 @@
     pub live: BTreeMap<u64, Session>,
     /// Oldest first.
     pub ended: VecDeque<EndedSession>,
-    /// They expire by command alone, whatever their own time says.
+    /// Whether they expire only by command, not by their own time.
     pub expires_by_command: bool,
 }
 
@@ -98,7 +98,7 @@
     }
 
     /// Whether any session has expired by its own time.
-    pub fn has_expired_any(&self, now_ms: u64) -> bool {
+    pub fn has_any_expired(&self, now_ms: u64) -> bool {
         self.live.values().any(|session| self.has_expired(session, now_ms))
     }
 
@@ -113,7 +113,7 @@
         live.all(|session| session.acknowledged >= version)
     }
 
-    /// Opens session `id`; its slot.
+    /// Opens session `id`; returns its slot.
     pub fn open(&mut self, id: u64, name: &str, ttl_ms: u64, acknowledged: u64, now_ms: u64) -> u32 {
         let slot = self.lowest_free_slot();
         let session = Session {
@@ -122,10 +122,10 @@
             ttl_ms,
             expires_at_ms: now_ms + ttl_ms,
             acknowledged,
-            last_renewal: Renewal { session: id, holds: acknowledged, ..Renewal::default() },
+            last_renewal: Renewal { session: id, acknowledged, ..Renewal::default() },
         };
         self.live.insert(id, session);
-        self.forget_ended(name);
+        self.remove_ended(name);
         slot
     }
 
@@ -135,12 +135,15 @@
         gap.map_or(taken.len() as u32, |(_, free)| free)
     }
 
-    /// Renews one session, or says why not.
+    /// Renews one session.
+    ///
+    /// # Errors
+    /// The reason why it was not renewed.
     pub fn renew(&mut self, renewal: &Renewal, offer: Option<Offer>, now_ms: u64) -> Result<(), String> {
-        let known = self.live.get(&renewal.session).filter(|session| !self.has_expired(session, now_ms));
-        let known = known.cloned();
-        let mut session = known.ok_or_else(|| AgreementError::Lost(renewal.session).to_string())?;
-        session.acknowledged = session.acknowledged.max(renewal.holds);
+        let live = self.live.get(&renewal.session).filter(|session| !self.has_expired(session, now_ms));
+        let live = live.cloned();
+        let mut session = live.ok_or_else(|| AgreementError::Lost(renewal.session).to_string())?;
+        session.acknowledged = session.acknowledged.max(renewal.acknowledged);
         if let Some(offer) = offer.filter(|offer| session.is_overdue(*offer, now_ms)) {
             return Err(format!("version {} was not acknowledged within the TTL", offer.version));
         }
@@ -150,18 +153,25 @@
         Ok(())
     }
 
-    /// Ends a session; whether it was there.
+    /// Ends a session; returns whether it was live.
     pub fn end(&mut self, id: u64, reason: &str, now_ms: u64) -> bool {
         let Some(Session { name, slot, last_renewal, .. }) = self.live.remove(&id) else { return false };
         let reason = reason.to_string();
-        self.remember(EndedSession { session: id, name, slot, last_renewal, reason, ended_at_ms: now_ms });
+        self.record_ended(EndedSession {
+            session: id,
+            name,
+            slot,
+            last_renewal,
+            reason,
+            ended_at_ms: now_ms,
+        });
         true
     }
 
-    /// Remembers a proxy without a session that can't apply `version` and so can't join, so that somebody finds out.
-    pub fn remember_refusal(&mut self, name: &str, version: u64, reason: &str, now_ms: u64) {
-        self.forget_ended(name);
-        self.remember(EndedSession {
+    /// Records a proxy without a session that can't apply `version` and so can't join, so that operators can find out.
+    pub fn record_refusal(&mut self, name: &str, version: u64, reason: &str, now_ms: u64) {
+        self.remove_ended(name);
+        self.record_ended(EndedSession {
             session: 0,
             name: name.into(),
             slot: 0,
@@ -171,11 +181,11 @@
         });
     }
 
-    fn forget_ended(&mut self, name: &str) {
+    fn remove_ended(&mut self, name: &str) {
         self.ended.retain(|ended| ended.name != name);
     }
 
-    fn remember(&mut self, ended: EndedSession) {
+    fn record_ended(&mut self, ended: EndedSession) {
         if self.ended.len() >= MAX_ENDED_SESSIONS {
             self.ended.pop_front();
         }
--- a/src/agreement/state/tests.rs
+++ b/src/agreement/state/tests.rs
@@ -20,8 +20,8 @@
         self.agreement.apply(&command, at_ms, 0, &mut self.revision)
     }
 
-    fn open(&mut self, at_ms: u64, holds: u64) -> Result<(u64, u32), AgreementError> {
-        match self.apply(at_ms, Command::Open { name: "p".into(), ttl_ms: 1_000, holds })? {
+    fn open(&mut self, at_ms: u64, acknowledged: u64) -> Result<(u64, u32), AgreementError> {
+        match self.apply(at_ms, Command::Open { name: "p".into(), ttl_ms: 1_000, acknowledged })? {
             CommandOutcome::Opened { session, slot, .. } => Ok((session, slot)),
             other => panic!("{other:?}"),
         }
@@ -38,8 +38,8 @@
         }
     }
 
-    fn renew(&mut self, at_ms: u64, session: u64, holds: u64) -> Option<String> {
-        let renewal = Renewal { session, holds, ..Renewal::default() };
+    fn renew(&mut self, at_ms: u64, session: u64, acknowledged: u64) -> Option<String> {
+        let renewal = Renewal { session, acknowledged, ..Renewal::default() };
         match self.apply(at_ms, Command::Renew { renewals: vec![renewal] }) {
             Ok(CommandOutcome::Renewed { mut lost, .. }) => lost.remove(&session),
             other => panic!("{other:?}"),
@@ -56,20 +56,24 @@
     assert_eq!((log.agreement.offered(), log.agreement.committed()), (Some(first), 0));
     assert_eq!(log.renew(20, a, first), None);
     assert_eq!(log.agreement.committed(), 0, "b has not acknowledged it");
-    assert_eq!(log.open(30, 0), Err(AgreementError::Behind(first)), "who joins holds it first");
-    // b renews on without a word of it: renewed no more a TTL after the offer, it runs out a TTL later.
+    assert_eq!(
+        log.open(30, 0),
+        Err(AgreementError::Behind(first)),
+        "a proxy must acknowledge the offer before it joins"
+    );
+    // b renews without acknowledging the offer: a TTL after the offer it is no longer renewed, and it expires a TTL later.
     assert_eq!(log.renew(900, b, 0), None);
     assert_eq!(log.renew(900, a, first), None);
-    assert!(log.renew(1_011, b, 0).is_some_and(|why| why.contains("not acknowledged")));
+    assert!(log.renew(1_011, b, 0).is_some_and(|reason| reason.contains("not acknowledged")));
     assert_eq!(log.renew(1_850, a, first), None);
     log.agreement.tick(1_899, &mut log.revision);
     assert_eq!((log.agreement.committed(), log.open(1_899, first).expect("opens").1), (0, 2));
     log.agreement.tick(1_900, &mut log.revision);
     assert_eq!((log.agreement.committed(), log.agreement.offered()), (first, None));
-    assert_eq!(log.open(1_901, first).expect("opens").1, 1, "its slot is free only now");
+    assert_eq!(log.open(1_901, first).expect("opens").1, 1, "the slot is free only after the expiry");
     log.agreement.tick(1_950, &mut log.revision);
     assert_eq!(log.agreement.members().slots, [0, 1, 2]);
-    assert!(log.agreement.changed() >= log.agreement.members().revision);
+    assert!(log.agreement.latest_change() >= log.agreement.members().revision);
 }
 
 #[test]
@@ -87,7 +91,7 @@
     assert_eq!((log.agreement.committed(), log.agreement.offered()), (first, Some(head)));
     let statuses: Vec<&VersionStatus> = log.agreement.versions().values().map(|v| &v.status).collect();
     assert_eq!(statuses.iter().filter(|s| ***s == VersionStatus::Superseded).count(), 99);
-    // A late word of the first acknowledges nothing more; one of the second does.
+    // A late acknowledgement of the first version does not commit the second; its own does.
     assert_eq!(log.renew(4, a, first), None);
     assert_eq!(log.agreement.committed(), first);
     assert_eq!(log.renew(4, a, head), None);
@@ -104,15 +108,15 @@
         session: Some(session),
         name: "p".into(),
         version,
-        why: "classes.x: is not known".into(),
+        reason: "classes.x: is not known".into(),
     };
     assert_eq!(log.apply(3, refuse(b, first + 9)), Err(AgreementError::NotOffered(first + 9)));
     assert_eq!(log.apply(3, refuse(b, first)), Ok(CommandOutcome::Nothing));
     assert_eq!((log.agreement.committed(), log.agreement.offered(), log.agreement.head()), (0, None, 0));
-    let status = &log.agreement.version(first).expect("kept").status;
+    let status = &log.agreement.version(first).expect("retained").status;
     assert_eq!(*status, VersionStatus::Withdrawn("p: classes.x: is not known".into()));
     assert_eq!(log.apply(4, refuse(b, first)), Err(AgreementError::NotOffered(first)));
-    assert_eq!(log.apply(2_000, refuse(b, first)), Err(AgreementError::Lost(b)), "it has run out");
+    assert_eq!(log.apply(2_000, refuse(b, first)), Err(AgreementError::Lost(b)), "the session has expired");
 }
 
 #[test]
@@ -122,7 +126,7 @@
     let mut head = log.publish(1, 0, 1.0).expect("published");
     assert_eq!(log.renew(1, a, head), None);
     let before = (log.agreement.clone(), log.revision);
-    let open = |ttl_ms, name: &str| Command::Open { name: name.into(), ttl_ms, holds: 99 };
+    let open = |ttl_ms, name: &str| Command::Open { name: name.into(), ttl_ms, acknowledged: 99 };
     for bad in [open(499, "p"), open(60_001, "p"), open(1_000, ""), open(1_000, "a\nb")] {
         assert!(log.apply(2, bad).is_err());
     }
@@ -139,8 +143,8 @@
         log.agreement.versions().values().map(|v| v.bytes).sum::<usize>()
     );
     assert_eq!(log.agreement.committed(), head);
-    let kept = serde_json::to_vec(&log.agreement).expect("JSON");
-    assert_eq!(serde_json::from_slice::<Agreement>(&kept).expect("reads"), log.agreement);
+    let stored = serde_json::to_vec(&log.agreement).expect("JSON");
+    assert_eq!(serde_json::from_slice::<Agreement>(&stored).expect("reads"), log.agreement);
 }
 
 #[test]
@@ -154,5 +158,5 @@
     assert_eq!(log.agreement.members().slots.len(), PROXIES);
     log.agreement.tick(10_000, &mut log.revision);
     assert!(log.agreement.members().slots.is_empty());
-    assert_eq!(log.agreement.ended().len(), PROXIES, "each is there for whoever asks how the fleet stands");
+    assert_eq!(log.agreement.ended().len(), PROXIES, "each is retained for the fleet's status");
 }
--- a/src/agreement/state/versions.rs
+++ b/src/agreement/state/versions.rs
@@ -1,4 +1,4 @@
-//! The versions of the settings: one committed, at most one offered, at most one that waits to be offered, and the
+//! The versions of the settings: the committed one, at most one offered, at most one waiting to be offered, and the
 //! history.
 
 use super::command::AgreementError;
@@ -7,20 +7,21 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Most versions retained; the oldest go first, never one that is committed, offered or waiting.
+/// The maximum number of retained versions. The oldest are evicted first, but never one that is committed, offered or
+/// waiting.
 pub const MAX_VERSIONS: usize = 4_096;
-/// Most bytes of all versions retained.
+/// The maximum size of all retained versions, in bytes.
 pub const MAX_HISTORY_BYTES: usize = 8 << 20;
 
 /// The status of a version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionStatus {
-    /// It waits until the offer before it has ended.
+    /// It waits for the end of the current offer.
     Waiting,
-    /// It is offered: sessions are to acknowledge it.
+    /// It is offered: sessions must acknowledge it.
     Offered,
-    /// It was committed, at this revision.
+    /// It was committed at this revision.
     Committed(u64),
     /// A later one was published while it waited.
     Superseded,
@@ -37,14 +38,14 @@
     pub document: Arc<Document>,
     /// Who published it.
     pub by: String,
-    /// What for.
+    /// The publisher's note on its purpose.
     pub note: String,
-    /// When, Unix time in milliseconds.
+    /// When it was published, Unix time in milliseconds.
     pub unix_ms: u64,
     /// Its status.
     #[serde(rename = "fate")]
     pub status: VersionStatus,
-    /// Its part of [`MAX_HISTORY_BYTES`].
+    /// The bytes that it counts towards [`MAX_HISTORY_BYTES`].
     pub(super) bytes: usize,
 }
 
@@ -57,25 +58,25 @@
     pub unix_ms: u64,
 }
 
-/// The version on offer.
+/// The offered version.
 #[derive(Clone, Copy)]
 pub(super) struct Offer {
     pub version: u64,
-    /// On the log's clock.
+    /// When it was offered, on the log's clock.
     pub offered_at_ms: u64,
 }
 
-/// All versions retained, and which of them is committed, offered and waiting (0: none).
+/// All retained versions, and which of them is committed, offered and waiting (0 if none).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct SettingsVersions {
     pub history: BTreeMap<u64, Version>,
-    /// Bytes of all versions.
+    /// The size of all versions, in bytes.
     pub history_bytes: usize,
     pub committed: u64,
     pub offered: u64,
     /// When it was offered, on the log's clock.
     pub offered_at_ms: u64,
-    /// The version that is offered next.
+    /// The version to offer next.
     pub waiting: u64,
 }
 
@@ -110,7 +111,7 @@
         Ok(())
     }
 
-    /// Adds a version that waits to be offered, in place of one that waits already.
+    /// Adds a version that waits to be offered; it supersedes one that is already waiting.
     pub fn publish(&mut self, number: u64, publication: &Publication<'_>) {
         let Publication { parent, document, by, note, unix_ms } = publication;
         let bytes = document.size() + by.len() + note.len();
@@ -127,23 +128,23 @@
         self.history.insert(number, version);
         let superseded = std::mem::replace(&mut self.waiting, number);
         self.set_status(superseded, VersionStatus::Superseded);
-        self.forget_oldest();
+        self.evict_oldest();
     }
 
-    /// Offers the version that waits.
+    /// Offers the waiting version.
     pub fn offer_waiting(&mut self, now_ms: u64) {
         self.offered = std::mem::take(&mut self.waiting);
         self.offered_at_ms = now_ms;
         self.set_status(self.offered, VersionStatus::Offered);
     }
 
-    /// Commits the version on offer at `revision`.
+    /// Commits the offered version at `revision`.
     pub fn commit_offer(&mut self, revision: u64) {
         self.committed = std::mem::take(&mut self.offered);
         self.set_status(self.committed, VersionStatus::Committed(revision));
     }
 
-    /// Withdraws the version on offer.
+    /// Withdraws the offered version.
     pub fn withdraw_offer(&mut self, reason: String) {
         let withdrawn = std::mem::take(&mut self.offered);
         self.set_status(withdrawn, VersionStatus::Withdrawn(reason));
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Drops the oldest versions beyond the bounds.
-    fn forget_oldest(&mut self) {
+    /// Evicts the oldest versions beyond the bounds.
+    fn evict_oldest(&mut self) {
         let retained = [self.committed, self.offered, self.waiting];
         while self.history.len() > MAX_VERSIONS || self.history_bytes > MAX_HISTORY_BYTES {
             let mut oldest_first = self.history.keys().copied();
--- a/src/agreement/views.rs
+++ b/src/agreement/views.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A settings version; without its document where the watcher has that.
+/// A settings version, without its document if the watcher already has that.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct SettingsView {
     /// The version.
@@ -16,7 +16,7 @@
     pub document: Option<Arc<Document>>,
 }
 
-/// The membership: `0-89,91` for the slots 0 to 89 and 91.
+/// The membership, in ranges: `0-89,91` is the slots 0 to 89 and 91.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct MembersView {
     /// The revision at which it was computed.
@@ -25,7 +25,7 @@
     pub slots: String,
 }
 
-/// What is agreed.
+/// The agreement.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct AgreementView {
     /// The revision of its latest change.
@@ -36,7 +36,7 @@
     /// The committed version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub committed: Option<SettingsView>,
-    /// The version on offer.
+    /// The offered version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub offered: Option<SettingsView>,
 }
@@ -66,13 +66,13 @@
     }
 }
 
-/// The slots of one range; none where the text is no range of slots.
+/// The slots of one range; `None` if the text is not a range of slots.
 fn slot_range(text: &str) -> Option<std::ops::RangeInclusive<u32>> {
     let (first, last) = text.split_once('-').unwrap_or((text, text));
     Some(slot(first)?..=slot(last)?)
 }
 
-/// A slot: below the bound on sessions, so that a malformed text does not make a huge membership.
+/// Parses a slot. It must be below [`MAX_SESSIONS`], so that a malformed text does not make a huge membership.
 fn slot(text: &str) -> Option<u32> {
     text.parse().ok().filter(|slot| (*slot as usize) < MAX_SESSIONS)
 }
--- a/src/agreement/views/tests.rs
+++ b/src/agreement/views/tests.rs
@@ -10,6 +10,6 @@
         assert_eq!(view.slots, text);
         assert_eq!(Members::from(view), members);
     }
-    let nonsense = MembersView { revision: 1, slots: "x,1-,2-1,5,4000000000-4100000000".into() };
-    assert_eq!(Members::from(nonsense).slots, [5]);
+    let malformed = MembersView { revision: 1, slots: "x,1-,2-1,5,4000000000-4100000000".into() };
+    assert_eq!(Members::from(malformed).slots, [5]);
 }
--- a/src/proxy/fleet_settings.rs
+++ b/src/proxy/fleet_settings.rs
@@ -7,7 +7,7 @@
 use super::server::Server;
 use super::settings::ProxySettings;
 use crate::agreement::document::{Document, DocumentError};
-use crate::agreement::follower::{Follower, FollowerConfig, Following, Owner};
+use crate::agreement::follower::{AppliedAgreement, Follower, FollowerConfig, Owner};
 use crate::agreement::session_state::Attachment;
 use crate::{DynamicClassSettings, DynamicSettings, FleetPosition, ShedOrder};
 use hyper::header::{HeaderMap, HeaderValue};
@@ -91,13 +91,13 @@
         document.may_follow(&self.own)
     }
 
-    fn follow(&self, following: &Following) {
+    fn follow(&self, following: &AppliedAgreement) {
         let (settings, position) = match following {
-            Following::Detached => {
+            AppliedAgreement::Detached => {
                 tracing::info!("detached from the fleet; applying the fallback settings");
                 (fallback_settings(&self.own, &self.proxy_settings), None)
             }
-            Following::Attached { slot, version, document, members } => {
+            AppliedAgreement::Attached { slot, version, document, members } => {
                 tracing::info!(slot, version, members = members.revision, "applying the fleet's settings");
                 let index = members.slots.binary_search(slot).ok();
                 let position = index.map(|index| FleetPosition { index, count: members.slots.len() });
@@ -126,7 +126,7 @@
     let AgreementConfig { name, ttl, clock_rate, document } = config;
     let proxy =
         Proxy { own: document, proxy_settings, engine: engine.clone(), server, discovery: discovery.clone() };
-    proxy.follow(&Following::Detached);
+    proxy.follow(&AppliedAgreement::Detached);
     let follower =
         Follower::start(FollowerConfig { name, addresses, ttl, clock_rate, seed }, Box::new(proxy));
     let list_follower = follower.clone();
--- a/src/registry/api/renewals.rs
+++ b/src/registry/api/renewals.rs
@@ -139,7 +139,7 @@
         let store = state.node.store();
         let sessions = store.agreement().sessions();
         let is_new = |renewal: &&Renewal| {
-            sessions.get(&renewal.session).is_some_and(|session| renewal.holds > session.acknowledged)
+            sessions.get(&renewal.session).is_some_and(|session| renewal.acknowledged > session.acknowledged)
         };
         call.renewals.sessions.iter().filter(is_new).copied().collect()
     };
--- a/src/registry/api/sessions.rs
+++ b/src/registry/api/sessions.rs
@@ -51,7 +51,7 @@
     match path {
         "/v1/session/open" => {
             let Open { name, ttl_ms, holds } = serde_json::from_slice(body)?;
-            Ok(Change::Open { name, ttl_ms, holds })
+            Ok(Change::Open { name, ttl_ms, acknowledged: holds })
         }
         "/v1/session/close" => {
             let Close { session } = serde_json::from_slice(body)?;
@@ -59,7 +59,7 @@
         }
         "/v1/session/refuse" => {
             let RejectVersion { session, name, version, reason } = serde_json::from_slice(body)?;
-            Ok(Change::Refuse { session, name, version, why: reason })
+            Ok(Change::Refuse { session, name, version, reason })
         }
         SETTINGS => {
             let Publish { parent, by, note, document } = serde_json::from_slice(body)?;
--- a/src/registry/api/settings.rs
+++ b/src/registry/api/settings.rs
@@ -38,7 +38,7 @@
     }
     let store = state.node.store();
     let agreement = store.agreement();
-    let at = agreement.changed();
+    let at = agreement.latest_change();
     if let Some(since) = since.filter(|since| *since > at) {
         return Err(RequestError::AgreementBehind { at, since });
     }
@@ -55,7 +55,7 @@
         Some(SettingsView { version, document: Some(document).filter(|_| !known.contains(&version)) })
     };
     let agreed = AgreementView {
-        revision: agreement.changed(),
+        revision: agreement.latest_change(),
         members: MembersView::from(agreement.members()),
         committed: shown(agreement.committed()),
         offered: agreement.offered().and_then(shown),
--- a/src/registry/api/writes.rs
+++ b/src/registry/api/writes.rs
@@ -9,7 +9,7 @@
 use super::settings_view::VersionView;
 use super::state::ApiState;
 use super::{cluster, endpoints, forward, leases, sessions};
-use crate::agreement::state::{AgreementError, AppliedVersions, CommandOutcome};
+use crate::agreement::state::{AgreementError, CommandOutcome, RequiredRevisions};
 use crate::http_client::CallError;
 use crate::registry::node::ProposeError;
 use crate::registry::raft::{Applied, NodeId};
@@ -68,7 +68,7 @@
 }
 
 impl WriteReply {
-    fn with_latest(self, latest: AppliedVersions) -> Self {
+    fn with_latest(self, latest: RequiredRevisions) -> Self {
         Self { agreed: Some(latest.agreed), list: Some(latest.list), ..self }
     }
 }
--- a/src/registry/node/renewal.rs
+++ b/src/registry/node/renewal.rs
@@ -52,7 +52,7 @@
         let now_ms = self.accept_renewals()?;
         let store = self.store();
         let lost = self.liveness.borrow_mut().renew(renewals, &store, now_ms);
-        let (agreed, list) = (store.agreement().changed(), store.list_revision());
+        let (agreed, list) = (store.agreement().latest_change(), store.list_revision());
         Ok(RenewalOutcome { revision: store.revision(), agreed, list, lost })
     }
 
--- a/src/registry/node/watch.rs
+++ b/src/registry/node/watch.rs
@@ -12,7 +12,7 @@
 
     /// Waits until the agreement has changed since revision `since`, for `timeout` at most; whether it has.
     pub async fn wait_for_agreement_change(&self, since: u64, timeout: Duration) -> bool {
-        self.wait_for(timeout, |store| store.agreement().changed() > since).await
+        self.wait_for(timeout, |store| store.agreement().latest_change() > since).await
     }
 
     async fn wait_for(&self, timeout: Duration, condition: impl Fn(&Store) -> bool) -> bool {
--- a/src/registry/store/mod.rs
+++ b/src/registry/store/mod.rs
@@ -105,7 +105,7 @@
 
     /// Whether the sessions have changed since the membership was last updated.
     pub fn membership_update_is_due(&self, at_ms: u64) -> bool {
-        self.agreement.due(self.stamp(at_ms))
+        self.agreement.is_tick_due(self.stamp(at_ms))
     }
 
     /// Every listed backend's id, with its expiry.
--- a/tests/agreement_model.rs
+++ b/tests/agreement_model.rs
@@ -11,7 +11,7 @@
 use linkhatch_proxy::agreement::document::Document;
 use linkhatch_proxy::agreement::session_state::{Announcement, Attachment, SessionState};
 use linkhatch_proxy::agreement::state::{
-    Agreement, AppliedVersions, Command, CommandOutcome, Renewal, VersionStatus,
+    Agreement, Command, CommandOutcome, Renewal, RequiredRevisions, VersionStatus,
 };
 use linkhatch_proxy::lease;
 use linkhatch_proxy::registry::liveness::{Liveness, Renewals};
@@ -64,11 +64,11 @@
 /// A proxy's call in flight, or its reply; lost when another takes its place.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Call {
-    Open { number: u64, holds: u64, sent: u64 },
-    Renew { session: u64, holds: u64, sent: u64 },
+    Open { number: u64, acknowledged: u64, sent: u64 },
+    Renew { session: u64, acknowledged: u64, sent: u64 },
     Refuse { session: u64, version: u64, sent: u64 },
-    Opened { number: u64, session: u64, slot: u32, required: AppliedVersions, sent: u64 },
-    Renewed { session: u64, sent: u64, required: AppliedVersions },
+    Opened { number: u64, session: u64, slot: u32, required: RequiredRevisions, sent: u64 },
+    Renewed { session: u64, sent: u64, required: RequiredRevisions },
     Lost { session: u64, sent: u64 },
 }
 
@@ -125,7 +125,7 @@
         let a = self.service.agreement();
         let versions: Vec<u64> = a.versions().keys().copied().collect();
         let nth = |version: u64| versions.iter().position(|v| *v == version);
-        let mut known: BTreeSet<u64> = BTreeSet::from([a.changed()]);
+        let mut known: BTreeSet<u64> = BTreeSet::from([a.latest_change()]);
         for proxy in &self.proxies {
             known.extend(proxy.session_state.iter().map(|s| s.announced().revision));
             known.extend(
@@ -168,8 +168,10 @@
             session_state.hash(&mut hasher);
             let call = proxy.call.as_ref().map(|call| {
                 let what = match call {
-                    Call::Open { holds, .. } => (0, nth(*holds), None, 0),
-                    Call::Renew { session, holds, .. } => (1, nth(*holds), service(*session), 0),
+                    Call::Open { acknowledged, .. } => (0, nth(*acknowledged), None, 0),
+                    Call::Renew { session, acknowledged, .. } => {
+                        (1, nth(*acknowledged), service(*session), 0)
+                    }
                     Call::Refuse { session, version, .. } => (2, nth(*version), service(*session), 0),
                     Call::Opened { session, required, .. } => {
                         (3, None, service(*session), rank(required.agreed))
@@ -203,12 +205,21 @@
             .collect();
         let commits: Vec<_> = self.commits.iter().map(|(version, at)| (nth(*version), ago(*at))).collect();
         let offered = self.offered.map(|(version, at)| (nth(version), log - at));
-        (sessions, statuses, commits, offered, a.due(log), rank(a.changed()), &a.members().slots).hash(state);
+        (
+            sessions,
+            statuses,
+            commits,
+            offered,
+            a.is_tick_due(log),
+            rank(a.latest_change()),
+            &a.members().slots,
+        )
+            .hash(state);
         let former = self.former.as_ref().map(|(liveness, service)| {
             let left =
                 |(id, session): (&u64, _)| liveness.session_expires_at_ms(*id, session).saturating_sub(log);
             let sessions: Vec<u64> = service.agreement().sessions().iter().map(left).collect();
-            (sessions, rank(service.agreement().changed()))
+            (sessions, rank(service.agreement().latest_change()))
         });
         former.hash(state);
         (self.now_ms, self.leads, self.elections, self.crashes, self.published).hash(state);
@@ -284,7 +295,7 @@
         let session = renewal.session;
         let renewals = Renewals { sessions: vec![renewal], ..Renewals::default() };
         let lost = liveness.renew(&renewals, service, log_ms);
-        let required = AppliedVersions { agreed: service.agreement().changed(), list: 0 };
+        let required = RequiredRevisions { agreed: service.agreement().latest_change(), list: 0 };
         match lost.sessions.contains_key(&session) {
             true => Call::Lost { session, sent },
             false => Call::Renewed { session, sent, required },
@@ -317,8 +328,8 @@
     /// The service handles a proxy's call; its reply.
     fn handle_call(&mut self, call: Call) -> Option<Call> {
         match call {
-            Call::Open { number, holds, sent } => {
-                let open = Command::Open { name: "p".into(), ttl_ms: TTL_MS, holds };
+            Call::Open { number, acknowledged, sent } => {
+                let open = Command::Open { name: "p".into(), ttl_ms: TTL_MS, acknowledged };
                 match self.apply(open)? {
                     CommandOutcome::Opened { session, slot, required } => {
                         Some(Call::Opened { number, session, slot, required, sent })
@@ -326,11 +337,12 @@
                     _ => None,
                 }
             }
-            Call::Renew { session, holds, sent } => {
-                let renewal = Renewal { session, holds, ..Renewal::default() };
+            Call::Renew { session, acknowledged, sent } => {
+                let renewal = Renewal { session, acknowledged, ..Renewal::default() };
                 let answer = Self::renew(&mut self.liveness, &self.service, renewal, self.log_ms, sent);
                 let known = self.agreement().sessions().get(&session);
-                if known.is_none_or(|s| holds <= s.acknowledged) || matches!(answer, Call::Lost { .. }) {
+                if known.is_none_or(|s| acknowledged <= s.acknowledged) || matches!(answer, Call::Lost { .. })
+                {
                     return Some(answer);
                 }
                 // An acknowledgement is written.
@@ -345,8 +357,8 @@
                 }
             }
             Call::Refuse { session, version, .. } => {
-                let (name, why) = ("p".to_string(), "key".to_string());
-                self.apply(Command::Refuse { session: Some(session), name, version, why });
+                let (name, reason) = ("p".to_string(), "key".to_string());
+                self.apply(Command::Refuse { session: Some(session), name, version, reason });
                 None
             }
             _ => None,
@@ -365,10 +377,12 @@
             (Some(version), Some(renewal)) if !self.has_refused => {
                 Call::Refuse { session: renewal.session, version, sent: now_ms }
             }
-            (_, Some(Renewal { session, holds, .. })) => Call::Renew { session, holds, sent: now_ms },
+            (_, Some(Renewal { session, acknowledged, .. })) => {
+                Call::Renew { session, acknowledged, sent: now_ms }
+            }
             (_, None) if !session_state.is_blocked() => {
-                let number = session_state.open(at(now_ms));
-                Call::Open { number, holds: session_state.acknowledged(), sent: now_ms }
+                let number = session_state.begin_open(at(now_ms));
+                Call::Open { number, acknowledged: session_state.acknowledged(), sent: now_ms }
             }
             _ => return None,
         };
@@ -442,7 +456,7 @@
         if state.leads && state.published < self.versions {
             actions.push(Action::Publish);
         }
-        let known = state.agreement().changed();
+        let known = state.agreement().latest_change();
         for (i, proxy) in state.proxies.iter().enumerate() {
             match &proxy.call {
                 Some(Call::Open { .. } | Call::Renew { .. } | Call::Refuse { .. }) if !state.leads => {}
@@ -508,7 +522,7 @@
                 let proxy = &mut state.proxies[i];
                 let call = proxy.next_call(state.now_ms)?;
                 if let (Call::Open { .. }, Some(session_state)) = (&call, &mut proxy.session_state) {
-                    session_state.open(at(state.now_ms));
+                    session_state.begin_open(at(state.now_ms));
                 }
                 proxy.has_refused |= matches!(call, Call::Refuse { .. });
                 (proxy.call, proxy.is_orphaned) = (Some(call), false);
@@ -528,8 +542,10 @@
                 }
             }
             Action::ArriveAtFormer(i) => {
-                let Call::Renew { session, holds, sent } = state.proxies[i].call.take()? else { return None };
-                let renewal = Renewal { session, holds, ..Renewal::default() };
+                let Call::Renew { session, acknowledged, sent } = state.proxies[i].call.take()? else {
+                    return None;
+                };
+                let renewal = Renewal { session, acknowledged, ..Renewal::default() };
                 let (liveness, service) = state.former.as_mut()?;
                 let answer = State::renew(liveness, service, renewal, state.log_ms, sent);
                 let proxy = &mut state.proxies[i];
@@ -538,7 +554,7 @@
             Action::Announce(i) => {
                 let a = state.service.agreement();
                 let announcement = Announcement {
-                    revision: a.changed(),
+                    revision: a.latest_change(),
                     members: a.members().revision,
                     committed: a.committed(),
                     offered: a.offered().unwrap_or(0),
@@ -546,7 +562,7 @@
                 let second = a.versions().keys().nth(1).copied();
                 let proxy = &mut state.proxies[i];
                 let can = |version| !(proxy.is_incompatible && Some(version) == second);
-                proxy.session_state.as_mut()?.announce(announcement, can);
+                proxy.session_state.as_mut()?.receive(announcement, can);
             }
         }
         Some(state)
--- a/tests/follower_calls.rs
+++ b/tests/follower_calls.rs
@@ -12,7 +12,7 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use linkhatch_proxy::agreement::document::{Document, DocumentError};
-use linkhatch_proxy::agreement::follower::{Follower, FollowerConfig, Following, Owner};
+use linkhatch_proxy::agreement::follower::{AppliedAgreement, Follower, FollowerConfig, Owner};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -108,10 +108,10 @@
         }
     }
 
-    fn follow(&self, following: &Following) {
+    fn follow(&self, following: &AppliedAgreement) {
         let line = match following {
-            Following::Detached => "detached".to_string(),
-            Following::Attached { slot, version, document, members } => {
+            AppliedAgreement::Detached => "detached".to_string(),
+            AppliedAgreement::Attached { slot, version, document, members } => {
                 let attempts = document.as_ref().map(|document| document.max_attempts);
                 format!(
                     "attached: slot {slot}, version {version} with max-attempts {attempts:?}, members {:?}",
--- a/tests/settings_documents.rs
+++ b/tests/settings_documents.rs
@@ -9,7 +9,7 @@
     Document, DocumentError, FallbackSettings, MAX_DOCUMENT_BYTES, differences, initial_document,
 };
 use linkhatch_proxy::agreement::state::{
-    Agreement, AgreementError, AppliedVersions, Command, CommandOutcome, Members, Renewal, Version,
+    Agreement, AgreementError, Command, CommandOutcome, Members, Renewal, RequiredRevisions, Version,
 };
 use linkhatch_proxy::agreement::{AgreementView, MembersView, SettingsView};
 use linkhatch_proxy::registry::store;
@@ -253,13 +253,13 @@
 }
 
 fn commands() -> Vec<Command> {
-    let renewal = Renewal { session: 5, holds: 4, active_version: 3, members: 2, list: 1 };
+    let renewal = Renewal { session: 5, acknowledged: 4, active_version: 3, members: 2, list: 1 };
     vec![
-        Command::Open { name: "p".into(), ttl_ms: 1_000, holds: 4 },
+        Command::Open { name: "p".into(), ttl_ms: 1_000, acknowledged: 4 },
         Command::Renew { renewals: vec![renewal, Renewal::default()] },
         Command::Close { session: 5 },
-        Command::Refuse { session: Some(5), name: "p".into(), version: 8, why: "a: b".into() },
-        Command::Refuse { session: None, name: "p".into(), version: 8, why: "a: b".into() },
+        Command::Refuse { session: Some(5), name: "p".into(), version: 8, reason: "a: b".into() },
+        Command::Refuse { session: None, name: "p".into(), version: 8, reason: "a: b".into() },
         Command::Publish {
             parent: 4,
             document: Arc::new(parse(&smallest()).expect("good")),
@@ -287,7 +287,7 @@
 
 #[test]
 fn outcomes_and_errors_are_stored_and_told_as_recorded() {
-    let required = AppliedVersions { agreed: 9, list: 6 };
+    let required = RequiredRevisions { agreed: 9, list: 6 };
     let outcomes = vec![
         CommandOutcome::Opened { session: 5, slot: 2, required },
         CommandOutcome::Renewed { lost: BTreeMap::from([(7, "why".to_string())]), required },
@@ -322,22 +322,22 @@
         let done = done.map_or_else(|e| format!("error: {e}"), |o| serde_json::to_string(&o).expect("JSON"));
         writeln!(out, "{at_ms} ms, revision {revision}: {done}").expect("a string");
     };
-    let open = |name: &str, holds| Command::Open { name: name.into(), ttl_ms: 1_000, holds };
+    let open = |name: &str, acknowledged| Command::Open { name: name.into(), ttl_ms: 1_000, acknowledged };
     let publish = |parent, worth: f64| {
         let mut document = full();
         document["classes"][0]["worth"] = json!(worth);
         let document = Arc::new(parse(&document).expect("good"));
         Command::Publish { parent, document, by: "ops".into(), note: format!("worth {worth}"), unix_ms: 77 }
     };
-    let renew = |session, holds| {
-        let renewal = Renewal { session, holds, active_version: holds, members: 2, list: 3 };
+    let renew = |session, acknowledged| {
+        let renewal = Renewal { session, acknowledged, active_version: acknowledged, members: 2, list: 3 };
         Command::Renew { renewals: vec![renewal] }
     };
     let refuse = |session, version| Command::Refuse {
         session,
         name: "b".into(),
         version,
-        why: "classes.x: is not known".into(),
+        reason: "classes.x: is not known".into(),
     };
     for (at_ms, command) in [
         (0, open("a", 0)),
