--- a/src/lease/clock.rs
+++ b/src/lease/clock.rs
@@ -1,8 +1,8 @@
-//! A process's clock, by which its leases are counted.
+//! The clock by which a process measures its leases.
 
 use std::time::{Duration, Instant};
 
-/// Real time that runs at `rate`, so that a fault test can make it fast or slow; 1.0 in production.
+/// A clock that runs at `rate` times real time, so that a fault test can make it fast or slow; 1.0 in production.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -15,13 +15,13 @@
         Self { start: Instant::now(), rate }
     }
 
-    /// The time that it shows.
+    /// The current time of this clock.
     pub fn now(&self) -> Instant {
         self.start + self.start.elapsed().mul_f64(self.rate)
     }
 
-    /// Waits until `local` has passed on it.
-    pub async fn sleep(&self, local: Duration) {
-        tokio::time::sleep(local.div_f64(self.rate)).await;
+    /// Waits until `duration` has passed on this clock.
+    pub async fn sleep(&self, duration: Duration) {
+        tokio::time::sleep(duration.div_f64(self.rate)).await;
     }
 }
--- a/src/lease/contender.rs
+++ b/src/lease/contender.rs
@@ -3,7 +3,7 @@
 use super::Lease;
 use std::time::{Duration, Instant};
 
-/// An acquire that was sent and is not answered yet.
+/// An acquire that was sent and has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingAcquire {
     number: u64,
@@ -12,9 +12,9 @@
 
 /// A process that contends for one duty: it acquires, renews and relinquishes the lease.
 ///
-/// An answer counts only if it answers the latest acquire. A late answer to an older one (after a retry, or after the duty
-/// was relinquished) is void: the service has voided that grant already or will, and acting on it could overlap another
-/// holder.
+/// An answer counts only if it answers the latest acquire. A late answer to an earlier acquire (after a retry, or after
+/// the duty was relinquished) is void: the service has voided that grant or will do so, and acting on it could overlap
+/// another holder.
 #[derive(Clone, Debug, Default)]
 pub struct Contender {
     lease: Option<Lease>,
@@ -24,12 +24,12 @@
 }
 
 impl Contender {
-    /// The lease held, if any.
+    /// The lease, if one is held.
     pub fn lease(&self) -> Option<&Lease> {
         self.lease.as_ref()
     }
 
-    /// The token with which the process may act at `now` (its clock), if it may.
+    /// The token with which the process may act at `now` (its clock); `None` if it may not act.
     pub fn may_act(&self, now: Instant) -> Option<u64> {
         self.lease.as_ref().filter(|lease| lease.may_act(now)).map(|lease| lease.token)
     }
@@ -42,8 +42,8 @@
         self.acquires
     }
 
-    /// Takes the answer to acquire `number`: granted with `token` for `ttl`. It counts only if it answers the latest
-    /// acquire and its token is above the one held; whether it does.
+    /// Records the answer to acquire `number`: granted with `token` for `ttl`. It counts only if it answers the latest
+    /// acquire and its token is above that of the lease held; returns whether it counts.
     pub fn granted(&mut self, number: u64, name: &str, token: u64, ttl: Duration) -> bool {
         let Some(pending) = self.pending.filter(|pending| pending.number == number) else { return false };
         if self.lease.as_ref().is_some_and(|lease| lease.token >= token) {
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Relinquishes the duty, so that the process stops acting at once, and voids any acquire that is unanswered; returns
-    /// the token to release at the service, if a lease was held.
+    /// Relinquishes the duty, so that the process stops acting at once, and voids any unanswered acquire; returns the token
+    /// to release at the service, if a lease was held.
     pub fn relinquish(&mut self) -> Option<u64> {
         self.pending = None;
         self.lease.take().map(|lease| lease.token)
--- a/src/lease/fence.rs
+++ b/src/lease/fence.rs
@@ -1,8 +1,8 @@
-//! The check of fencing tokens that a resource makes of every act.
+//! The check of fencing tokens that a resource applies to every act.
 
 use thiserror::Error;
 
-/// An act with a token lower than one that was seen before: a newer holder has acted, and this act is stale.
+/// The error of an act with a token below one seen before: a newer holder has acted, and this act is stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("stale token: {token} is below {highest}, which was seen before")]
 pub struct StaleToken {
@@ -12,7 +12,7 @@
     pub token: u64,
 }
 
-/// The highest token seen so far; no act with a lower one is admitted.
+/// The highest token seen so far; acts with a lower token are rejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fence {
     highest: u64,
@@ -22,7 +22,7 @@
     /// Admits an act with `token`, which becomes the highest seen, or rejects one with a lower token.
     ///
     /// # Errors
-    /// [`StaleToken`] where a higher token has been seen.
+    /// [`StaleToken`] if a higher token has been seen.
     pub fn admit(&mut self, token: u64) -> Result<(), StaleToken> {
         if token < self.highest {
             return Err(StaleToken { highest: self.highest, token });
@@ -31,7 +31,7 @@
         Ok(())
     }
 
-    /// The highest token seen; 0 before any.
+    /// The highest token seen; 0 if none.
     pub fn highest(&self) -> u64 {
         self.highest
     }
--- a/src/lease/holder/config.rs
+++ b/src/lease/holder/config.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The most list-service addresses that a holder takes, as for the proxy's discovery.
+/// The maximum number of list-service addresses, the same as for the proxy's discovery.
 const MAX_ADDRESSES: usize = 7;
 
 /// A holder's configuration file (TOML); unknown keys are an error.
@@ -18,17 +18,17 @@
     pub name: String,
     /// This process's name as the list service records it; unique in the fleet.
     pub holder: String,
-    /// The lease's TTL in milliseconds, from 500 to 300,000 as the list service accepts it.
+    /// The lease's TTL in milliseconds, from 500 to 300,000, which is the list service's range.
     pub ttl_ms: u64,
     /// How often the lease is renewed, in milliseconds (default a third of the TTL, so that two renewals may be lost in a
     /// row before it expires).
     #[serde(default)]
     pub renew_every_ms: Option<u64>,
-    /// The wait before the next acquire where another process holds the duty, in milliseconds (default 100), with equal
+    /// The wait before the next acquire if another process holds the duty, in milliseconds (default 100), with equal
     /// jitter.
     #[serde(default = "default_retry_ms")]
     pub retry_ms: u64,
-    /// How fast this holder's clock runs against real time (default 1.0; 1.02 is 2% fast). For fault tests: the holder's
+    /// The rate of this holder's clock against real time (default 1.0; 1.02 is 2% fast), for fault tests. The holder's
     /// bound allows for rates down to `1 - MAX_CLOCK_DRIFT`.
     #[serde(default = "default_clock_rate")]
     pub clock_rate: f64,
@@ -42,7 +42,7 @@
 pub struct WarmDuty {
     /// The backend to warm.
     pub target: SocketAddr,
-    /// The path requested (default `/warm`).
+    /// The path of the requests (default `/warm`).
     #[serde(default = "default_path")]
     pub path: String,
     /// Milliseconds between acts (default 50), from 1 to 60,000.
@@ -74,7 +74,7 @@
     /// Reads and checks a holder's configuration file.
     ///
     /// # Errors
-    /// A [`ConfigError`] with the file, or with the value that is out of its range.
+    /// A [`ConfigError`] that names the file, or the value that is out of range.
     pub fn read(path: &str) -> Result<Self, ConfigError> {
         let config: Self = read_toml(path)?;
         check((1..=MAX_ADDRESSES).contains(&config.registry.len()), "registry: from 1 to 7 addresses")?;
--- a/src/lease/holder/mod.rs
+++ b/src/lease/holder/mod.rs
@@ -1,12 +1,12 @@
-//! The program that holds one duty: it acquires and renews a lease at the list service over HTTP, and does its duty only
-//! while the lease says that it may, with the fencing token in every act.
+//! The program that holds one duty: it acquires and renews a lease at the list service over HTTP, and performs its duty
+//! only while the lease is valid, with the fencing token in every act.
 //!
-//! The duty is to warm up a backend: one request each `every_ms` to its address, so that one process of the fleet, not
-//! all of them together, brings it up to speed. The backend (or whatever receives the act) answers 409 to a token below
-//! one it has seen; the holder then takes its grant as lost.
+//! The duty is to warm up a backend: one request each `every_ms` to its address, so that a single process of the fleet
+//! warms it up, not all of them together. The backend (or whatever receives the act) answers 409 to a token below one it
+//! has seen; the holder then treats its grant as lost.
 //!
-//! Run as `linkhatch-proxy hold --config FILE.toml`; never started by the proxy's `run`. On SIGTERM it stops acting,
-//! releases its lease (best effort: without the release the lease ends with its TTL) and exits 0.
+//! It is run as `linkhatch-proxy hold --config FILE.toml`, never by the proxy's `run`. On SIGTERM it stops acting,
+//! releases its lease (best effort: without the release the lease expires after its TTL) and exits with status 0.
 
 mod config;
 mod service;
@@ -27,14 +27,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The longest timeout of one call, whatever the TTL.
+/// The maximum timeout of a call, for any TTL.
 const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// The backoff after the first failure of a list-service address.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
 /// The longest backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Part of the seed of the jitter; the holder's name is the rest.
-const SEED: u64 = 0xa11c_e5ed;
+/// Combined with the holder's name to seed the jitter.
+const JITTER_SEED: u64 = 0xa11c_e5ed;
 
 /// One holder: its configuration, its clock and its lease.
 struct Holder {
@@ -50,7 +50,8 @@
 
 impl Holder {
     fn new(config: HolderConfig) -> Self {
-        let seed = config.holder.bytes().fold(SEED, |seed, byte| seed.rotate_left(5) ^ u64::from(byte));
+        let seed =
+            config.holder.bytes().fold(JITTER_SEED, |seed, byte| seed.rotate_left(5) ^ u64::from(byte));
         Self {
             clock: Clock::start(config.clock_rate),
             config,
@@ -83,8 +84,8 @@
         self.jittered(backoff)
     }
 
-    /// Acquires the lease and renews it, for as long as the process lives; relinquishes it when it expires by the
-    /// holder's clock.
+    /// Acquires the lease and renews it for as long as the process runs; relinquishes it when it expires by the holder's
+    /// clock.
     async fn maintain_lease(&self) {
         loop {
             let lease = self.contender.borrow().lease().cloned();
@@ -171,7 +172,7 @@
                     self.contender.borrow_mut().lost(token);
                 }
                 Ok(_) => {}
-                Err(error) => tracing::debug!(%error, "act got no answer"),
+                Err(error) => tracing::debug!(%error, "act failed"),
             }
         }
     }
@@ -181,22 +182,22 @@
         let Some(token) = self.contender.borrow_mut().relinquish() else { return };
         let request = GrantRequest { name: &self.config.name, token };
         if let Err(error) = service::release(self.address(), &request, self.call_timeout()).await {
-            tracing::warn!(%error, token, "releasing the lease failed; it ends with its TTL");
+            tracing::warn!(%error, token, "releasing the lease failed; it expires after its TTL");
         }
     }
 }
 
-/// Holds the duty until SIGTERM. Prints `linkhatch-proxy: holder acting on ADDR` on standard error once it runs, ADDR being
-/// the duty's target. Runs on the current thread's runtime and `LocalSet`.
+/// Holds the duty until SIGTERM. Prints `linkhatch-proxy: holder acting on ADDR` on standard error once it runs, where
+/// ADDR is the duty's target. Runs on the current thread's runtime and `LocalSet`.
 ///
 /// # Errors
-/// Where the signal handler can't be set up.
+/// The signal handler can't be installed.
 pub async fn hold(config: HolderConfig) -> std::io::Result<()> {
     let mut stop = Signals::listen(SIGTERM)?;
     let holder = Rc::new(Holder::new(config));
     eprintln!("linkhatch-proxy: holder acting on {}", holder.config.duty.target);
-    let acting = holder.clone();
-    let duty = tokio::task::spawn_local(async move { acting.perform_duty().await });
+    let duty_holder = holder.clone();
+    let duty = tokio::task::spawn_local(async move { duty_holder.perform_duty().await });
     tokio::select! {
         () = holder.maintain_lease() => {}
         _ = stop.recv() => {}
--- a/src/lease/holder/service.rs
+++ b/src/lease/holder/service.rs
@@ -1,4 +1,4 @@
-//! A holder's calls: to the list service, for its lease, and to the resource that its duty acts on.
+//! A holder's calls: to the list service for its lease, and to the resource that its duty acts on.
 
 use crate::http_client::CallError;
 use crate::os::sockets::{self, Socket};
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The most bytes of a reply's body that are read; a longer one counts as empty.
+/// The maximum size of a reply's body, in bytes; a longer body counts as empty.
 const MAX_REPLY_BYTES: usize = 16 << 10;
 
-// The fields of requests are in the order of their names, as they are on the wire.
+// The fields of requests are sorted by name, which is their order on the wire.
 
 /// The body of `/v1/lease/acquire`.
 #[derive(Debug, Serialize)]
@@ -44,7 +44,7 @@
 pub(super) enum AcquireReply {
     /// The lease is granted with this token.
     Granted(u64),
-    /// The reply grants the lease and holds no token.
+    /// The reply grants the lease but has no token.
     GrantedWithoutToken,
     /// Another process holds the lease.
     HeldByOther,
@@ -117,7 +117,7 @@
     }
 }
 
-/// Releases a lease; any reply will do.
+/// Releases a lease; the reply's status is ignored.
 pub(super) async fn release(
     address: SocketAddr,
     request: &GrantRequest<'_>,
@@ -129,7 +129,7 @@
 fn post(address: SocketAddr, path: &str, body: &impl Serialize) -> Result<Request<Full<Bytes>>, CallError> {
     let body = serde_json::to_vec(body)?;
     let request = Request::post(path).header("host", address.to_string());
-    // A valid path always makes a request.
+    // A request with a valid path can always be built.
     Ok(request.body(Full::new(body.into())).unwrap_or_default())
 }
 
