--- a/src/agreement/document/initial.rs
+++ b/src/agreement/document/initial.rs
@@ -13,8 +13,8 @@
 /// The fraction of each quota in derived fallback settings.
 const FALLBACK_QUOTA_FRACTION: f64 = 0.5;
 
-/// Makes a document from the key `settings` of a proxy's configuration, with `fallback` or with fallback settings derived
-/// from the configuration: half of each quota, at most two attempts, no `Retry-After`, and unchanged times.
+/// Makes a document from the key `settings` of a proxy's configuration, with `fallback` or with fallback settings
+/// derived from the configuration: half of each quota, at most two attempts, no `Retry-After`, and unchanged times.
 ///
 /// # Errors
 /// The key that is invalid or missing.
@@ -65,8 +65,8 @@
     if value.is_null() { json!(default) } else { value.clone() }
 }
 
-/// The object reduced to those of `keys` that have a value. A class without an idempotency key may still have a group and
-/// a window, which then have no effect.
+/// The object reduced to those of `keys` that have a value. A class without an idempotency key may still have a group
+/// and a window, which then have no effect.
 fn select_keys(object: &Value, keys: &[&str]) -> Value {
     let selected = object.as_object().into_iter().flatten();
     let selected = selected.filter(|(key, value)| keys.contains(&key.as_str()) && !value.is_null());
--- a/src/agreement/document/mod.rs
+++ b/src/agreement/document/mod.rs
@@ -16,9 +16,9 @@
 //! timeouts, the capacity of backends that are warming up) describe one site and are not shared by the fleet.
 //!
 //! **The fallback settings** (key `floor`) are what a proxy applies while it is detached and can't know which version
-//! is committed: for each kind at most what any version may allow, which [`Document::check`] enforces for every
-//! version that enters the history. A detached proxy sheds load without regard to priority. So it contradicts no version,
-//! even one published in the meantime: it does less than any version allows, never more. A tenant's fallback quota is
+//! is committed: for each kind at most what any version may allow, which [`Document::check`] enforces for every version
+//! that enters the history. A detached proxy sheds load without regard to priority. So it contradicts no version, even
+//! one published in the meantime: it does less than any version allows, never more. A tenant's fallback quota is
 //! divided by the maximum number of proxies in the fleet, and attached proxies divide only the part of the quota above
 //! it, so that attached and detached proxies together never exceed the quota ([`crate::Balancer`] computes each proxy's
 //! part).
--- a/src/agreement/follower/mod.rs
+++ b/src/agreement/follower/mod.rs
@@ -1,11 +1,11 @@
-//! Follows the agreement for a proxy, with the I/O around [`SessionState`]: it watches the agreement at the list service,
-//! maintains the proxy's session, and notifies its owner of what to apply. It serves no requests itself, so that an
-//! outage of the list service costs the proxy only its attachment.
+//! Follows the agreement for a proxy, with the I/O around [`SessionState`]: it watches the agreement at the list
+//! service, maintains the proxy's session, and notifies its owner of what to apply. It serves no requests itself, so
+//! that an outage of the list service costs the proxy only its attachment.
 //!
-//! At most two calls are in flight: a watch of the agreement (`watch`), and one of the session (`session`: opened, renewed
-//! each third of the TTL and at once when there is an offer to acknowledge). Each goes to one node and on to the next
-//! after a failure (`nodes`), with full jitter on the backoff, so that proxies that lost the same node do not reconnect
-//! at the same time.
+//! At most two calls are in flight: a watch of the agreement (`watch`), and one of the session (`session`: opened,
+//! renewed each third of the TTL and at once when there is an offer to acknowledge). Each goes to one node and on to
+//! the next after a failure (`nodes`), with full jitter on the backoff, so that proxies that lost the same node do not
+//! reconnect at the same time.
 
 mod nodes;
 mod session;
--- a/src/agreement/mod.rs
+++ b/src/agreement/mod.rs
@@ -10,8 +10,8 @@
 //! # Which proxies contradict each other, and for how long at most
 //!
 //! `ttl` is the session's TTL. A proxy relies on a renewal for [`crate::lease::holder_validity`] of the TTL after it
-//! sent the renewal (5% is left for drift of the proxy's and the leader's clocks together, and 50 ms for the time from a
-//! decision to its act).
+//! sent the renewal (5% is left for drift of the proxy's and the leader's clocks together, and 50 ms for the time from
+//! a decision to its act).
 //!
 //! | kind | two attached proxies contradict each other if | for at most (W) | a detached proxy |
 //! | --- | --- | --- | --- |
@@ -28,14 +28,14 @@
 //!
 //! # From publication to commit
 //!
-//! A valid document enters the history under its revision. One version at a time is **offered**: every proxy checks that
-//! it can apply it and acknowledges it with a renewal, and the service commits it in the same step of the log in which the
-//! last live session acknowledges it or expires. Proxies switch on the commit, which by then names only a version that
-//! they have. If a proxy can't apply the version, it refuses it, and the offer is **withdrawn**: no proxy switches. A
-//! session that neither acknowledges nor refuses is no longer renewed once its TTL has passed since the offer. So an
-//! offer ends within `2 ttl` and a tick of the log's clock, and a stalled proxy delays the others no longer than that.
-//! Versions published in the meantime wait; the latest of them is offered next, and the others stay in the history as
-//! superseded.
+//! A valid document enters the history under its revision. One version at a time is **offered**: every proxy checks
+//! that it can apply it and acknowledges it with a renewal, and the service commits it in the same step of the log in
+//! which the last live session acknowledges it or expires. Proxies switch on the commit, which by then names only a
+//! version that they have. If a proxy can't apply the version, it refuses it, and the offer is **withdrawn**: no proxy
+//! switches. A session that neither acknowledges nor refuses is no longer renewed once its TTL has passed since the
+//! offer. So an offer ends within `2 ttl` and a tick of the log's clock, and a stalled proxy delays the others no
+//! longer than that. Versions published in the meantime wait; the latest of them is offered next, and the others stay
+//! in the history as superseded.
 
 pub mod calls;
 pub mod document;
--- a/src/agreement/state/mod.rs
+++ b/src/agreement/state/mod.rs
@@ -1,6 +1,6 @@
 //! The list service's part of the agreement as a pure state machine: sessions with their slots, the membership, and the
-//! settings' versions from publication to commit. It is part of the store (`registry::store`). Its commands come from the
-//! replicated log, each with the log's time, so that all nodes reach the same state.
+//! settings' versions from publication to commit. It is part of the store (`registry::store`). Its commands come from
+//! the replicated log, each with the log's time, so that all nodes reach the same state.
 //!
 //! Invariants, each checked by the model in `tests/agreement_model.rs`:
 //! - a slot belongs to one session at a time, and is free again only once that session has expired, was closed by its
--- a/src/agreement/state/snapshot.rs
+++ b/src/agreement/state/snapshot.rs
@@ -1,5 +1,5 @@
-//! The stored form of the agreement in snapshots of the replicated log. It is flat and must stay readable by every build
-//! that may be started on the same data.
+//! The stored form of the agreement in snapshots of the replicated log. It is flat and must stay readable by every
+//! build that may be started on the same data.
 
 use super::Agreement;
 use super::membership::{Members, Membership};
--- a/src/agreement/state/tests.rs
+++ b/src/agreement/state/tests.rs
@@ -61,7 +61,8 @@
         Err(AgreementError::Behind(first)),
         "a proxy must acknowledge the offer before it joins"
     );
-    // b renews without acknowledging the offer: a TTL after the offer it is no longer renewed, and it expires a TTL later.
+    // b renews without acknowledging the offer: a TTL after the offer it is no longer renewed, and it expires a TTL
+    // later.
     assert_eq!(log.renew(900, b, 0), None);
     assert_eq!(log.renew(900, a, first), None);
     assert!(log.renew(1_011, b, 0).is_some_and(|reason| reason.contains("not acknowledged")));
--- a/src/lease/contender.rs
+++ b/src/lease/contender.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Relinquishes the duty, so that the process stops acting at once, and voids any unanswered acquire; returns the token
-    /// to release at the service, if a lease was held.
+    /// Relinquishes the duty, so that the process stops acting at once, and voids any unanswered acquire; returns the
+    /// token to release at the service, if a lease was held.
     pub fn relinquish(&mut self) -> Option<u64> {
         self.pending = None;
         self.lease.take().map(|lease| lease.token)
--- a/src/lease/holder/config.rs
+++ b/src/lease/holder/config.rs
@@ -20,8 +20,8 @@
     pub holder: String,
     /// The lease's TTL in milliseconds, from 500 to 300,000, which is the list service's range.
     pub ttl_ms: u64,
-    /// How often the lease is renewed, in milliseconds (default a third of the TTL, so that two renewals may be lost in a
-    /// row before it expires).
+    /// How often the lease is renewed, in milliseconds (default a third of the TTL, so that two renewals may be lost in
+    /// a row before it expires).
     #[serde(default)]
     pub renew_every_ms: Option<u64>,
     /// The wait before the next acquire if another process holds the duty, in milliseconds (default 100), with equal
--- a/src/lease/holder/mod.rs
+++ b/src/lease/holder/mod.rs
@@ -2,8 +2,8 @@
 //! only while the lease is valid, with the fencing token in every act.
 //!
 //! The duty is to warm up a backend: one request each `every_ms` to its address, so that a single process of the fleet
-//! warms it up, not all of them together. The backend (or whatever receives the act) answers 409 to a token below one it
-//! has seen; the holder then treats its grant as lost.
+//! warms it up, not all of them together. The backend (or whatever receives the act) answers 409 to a token below one
+//! it has seen; the holder then treats its grant as lost.
 //!
 //! It is run as `linkhatch-proxy hold --config FILE.toml`, never by the proxy's `run`. On SIGTERM it stops acting,
 //! releases its lease (best effort: without the release the lease expires after its TTL) and exits with status 0.
@@ -70,7 +70,8 @@
         self.config.renewal_interval().min(MAX_CALL_TIMEOUT)
     }
 
-    /// A wait between `base / 2` and `base` ("equal jitter"), so that holders that failed together do not retry together.
+    /// A wait between `base / 2` and `base` ("equal jitter"), so that holders that failed together do not retry
+    /// together.
     fn jittered(&self, base: Duration) -> Duration {
         base.mul_f64(self.rng.borrow_mut().random_range(0.5..=1.0))
     }
@@ -84,8 +85,8 @@
         self.jittered(backoff)
     }
 
-    /// Acquires the lease and renews it for as long as the process runs; relinquishes it when it expires by the holder's
-    /// clock.
+    /// Acquires the lease and renews it for as long as the process runs; relinquishes it when it expires by the
+    /// holder's clock.
     async fn maintain_lease(&self) {
         loop {
             let lease = self.contender.borrow().lease().cloned();
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -1,9 +1,9 @@
-//! Leases on duties that one process may hold at a time: the holder's handle, which determines until when it may act, and
-//! the fencing check that a resource applies to every act.
+//! Leases on duties that one process may hold at a time: the holder's handle, which determines until when it may act,
+//! and the fencing check that a resource applies to every act.
 //!
-//! The list service stores the grants (`registry::store`, commands `Acquire`, `Release`, `EndExpired`). The fencing token
-//! of a new grant is the revision that the grant makes, so tokens only grow. The service's leader records renewals in
-//! memory (`registry::liveness`, which proves that a grant outlives a change of leader).
+//! The list service stores the grants (`registry::store`, commands `Acquire`, `Release`, `EndExpired`). The fencing
+//! token of a new grant is the revision that the grant makes, so tokens only grow. The service's leader records
+//! renewals in memory (`registry::liveness`, which proves that a grant outlives a change of leader).
 //!
 //! - [`Lease`]: a grant, as its holder sees it.
 //! - [`Contender`]: a process that acquires, renews and relinquishes one lease.
@@ -12,20 +12,20 @@
 //! - [`holder`]: the program that holds a duty.
 //!
 //! **The holder's bound.** The service keeps a grant or renewal sent at local time `s` at least until `s + ttl` in real
-//! time, since it counts the TTL from when the request reached it, which is after it was sent. The holder's clock may run
-//! slow by up to [`MAX_CLOCK_DRIFT`] (a clock that is slow by `r` advances at `1 - r` times the rate of real time), so the
-//! holder stops acting at local time `s + ttl (1 - MAX_CLOCK_DRIFT) - SAFETY_MARGIN`. With `r <= MAX_CLOCK_DRIFT` that is
-//! at most `ttl (1 - MAX_CLOCK_DRIFT) / (1 - r) <= ttl` of real time after `s`, and [`SAFETY_MARGIN`] is left for the time
-//! from the decision to act to the act itself. A clock that runs fast only stops the holder sooner. The service's clock is
-//! assumed to run at the true rate. The round trip of the last renewal is not subtracted, since the bound already counts
-//! from when the renewal was sent.
+//! time, since it counts the TTL from when the request reached it, which is after it was sent. The holder's clock may
+//! run slow by up to [`MAX_CLOCK_DRIFT`] (a clock that is slow by `r` advances at `1 - r` times the rate of real time),
+//! so the holder stops acting at local time `s + ttl (1 - MAX_CLOCK_DRIFT) - SAFETY_MARGIN`. With
+//! `r <= MAX_CLOCK_DRIFT` that is at most `ttl (1 - MAX_CLOCK_DRIFT) / (1 - r) <= ttl` of real time after `s`, and
+//! [`SAFETY_MARGIN`] is left for the time from the decision to act to the act itself. A clock that runs fast only stops
+//! the holder sooner. The service's clock is assumed to run at the true rate. The round trip of the last renewal is not
+//! subtracted, since the bound already counts from when the renewal was sent.
 //!
 //! Sources: Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency"
-//! (SOSP 1989), for the bound under bounded clock drift; Burrows, "The Chubby lock service" (OSDI 2006), section 2.4, for
-//! fencing tokens (sequencers), which reject acts that arrive after the bound.
+//! (SOSP 1989), for the bound under bounded clock drift; Burrows, "The Chubby lock service" (OSDI 2006), section 2.4,
+//! for fencing tokens (sequencers), which reject acts that arrive after the bound.
 //!
-//! **Handover.** Another process may be granted the duty once the TTL has expired at the service: at most `ttl` after the
-//! holder's last renewal reached the service, plus the contender's retry interval.
+//! **Handover.** Another process may be granted the duty once the TTL has expired at the service: at most `ttl` after
+//! the holder's last renewal reached the service, plus the contender's retry interval.
 
 mod clock;
 mod contender;
--- a/tests/agreement_model.rs
+++ b/tests/agreement_model.rs
@@ -1,12 +1,13 @@
-//! The agreement explored by a model checker (`stateright`): the service's state machine, its leader's memory of renewals
-//! and each proxy's session state are the real ones. Calls and replies are lost or arrive late, announcements come late or
-//! never, proxies crash and restart, the service loses its leader and with it what that remembered, and time passes in
-//! steps; every state that a small configuration can reach is visited. Repeated and reordered calls change nothing by the
-//! unit tests of `session_state` and `state`.
+//! Explores the agreement with a model checker (`stateright`). The service's state machine, its leader's record of
+//! renewals in memory and each proxy's session state are the real ones. Calls and replies are lost or arrive late,
+//! announcements arrive late or never, proxies crash and restart, the service loses its leader and with it the renewals
+//! in memory, and time passes in steps; every state that a small configuration can reach is visited. The unit tests of
+//! `session_state` and `state` show that repeated and reordered calls change nothing.
 //!
-//! Time advances in steps of half a session's TTL: a renewal is relied on for one step with the real bound, and for three,
-//! which is more than the TTL, with the one that is broken on purpose. Broken on purpose as well: a new leader that ends
-//! sessions whose renewals it had no time to receive, and a former one that goes on answering renewals.
+//! Time advances in steps of half a session's TTL: a proxy relies on a renewal for one step with the real bound, and
+//! for three, which is more than the TTL, with a deliberately broken bound. Two kinds of leaders are deliberately
+//! broken as well: a new leader that ends sessions whose renewals it had no time to receive, and a former leader that
+//! continues to answer renewals.
 
 use linkhatch_proxy::agreement::document::Document;
 use linkhatch_proxy::agreement::session_state::{Announcement, Attachment, SessionState};
@@ -26,62 +27,62 @@
 const TTL_MS: u64 = 500;
 const STEP_MS: u64 = 250;
 
-/// What is explored.
+/// A configuration to explore.
 #[derive(Clone, Debug)]
 struct Configuration {
     proxies: usize,
-    /// Versions published, one after another, at any time.
+    /// The number of versions published, one after another, at any time.
     versions: usize,
-    /// Steps of time.
+    /// The number of time steps.
     steps: u64,
-    /// Crashes, all proxies together.
+    /// The number of crashes of all proxies together.
     crashes: u8,
-    /// Times that the service loses its leader.
+    /// How often the service loses its leader.
     elections: u8,
-    /// How long a renewal is relied on.
-    held: Duration,
-    /// The proxy that can't apply the second version, if there is one.
+    /// How long a proxy relies on a renewal.
+    validity: Duration,
+    /// The proxy that can't apply the second version, if any.
     incompatible_proxy: Option<usize>,
-    /// Whether all begin attached.
-    attached: bool,
-    /// Whether calls reach the service at once or never, so that only replies and announcements are late.
-    prompt: bool,
-    /// How leaders remember renewals.
-    leaders: Leaders,
+    /// Whether all proxies start attached.
+    starts_attached: bool,
+    /// Whether calls reach the service immediately or never, so that only replies and announcements are late.
+    instant_calls: bool,
+    /// How leaders record renewals.
+    leader_mode: LeaderMode,
 }
 
-/// How leaders remember renewals.
+/// How leaders record renewals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Leaders {
-    /// As the service does.
+enum LeaderMode {
+    /// As in the service.
     Real,
-    /// A new one leaves proxies no time to renew.
+    /// A new leader leaves proxies no time to renew.
     WithoutGrace,
-    /// One that has been replaced goes on answering.
-    Unaware,
+    /// A leader that was replaced continues to answer renewals.
+    FormerAnswers,
 }
 
-/// A proxy's call in flight, or its reply; lost when another takes its place.
+/// A proxy's call in flight, or the reply to it; it is lost when another replaces it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Call {
-    Open { number: u64, acknowledged: u64, sent: u64 },
-    Renew { session: u64, acknowledged: u64, sent: u64 },
-    Refuse { session: u64, version: u64, sent: u64 },
-    Opened { number: u64, session: u64, slot: u32, required: RequiredRevisions, sent: u64 },
-    Renewed { session: u64, sent: u64, required: RequiredRevisions },
-    Lost { session: u64, sent: u64 },
+    Open { number: u64, acknowledged: u64, sent_ms: u64 },
+    Renew { session: u64, acknowledged: u64, sent_ms: u64 },
+    Refuse { session: u64, version: u64, sent_ms: u64 },
+    Opened { number: u64, session: u64, slot: u32, required: RequiredRevisions, sent_ms: u64 },
+    Renewed { session: u64, sent_ms: u64, required: RequiredRevisions },
+    Lost { session: u64, sent_ms: u64 },
 }
 
 impl Call {
-    /// When the call was made that this is, or replies to.
-    fn sent(&self) -> u64 {
+    /// When the call was sent, or the call that this replies to.
+    fn sent_ms(&self) -> u64 {
         match self {
-            Call::Open { sent, .. }
-            | Call::Renew { sent, .. }
-            | Call::Refuse { sent, .. }
-            | Call::Opened { sent, .. }
-            | Call::Renewed { sent, .. }
-            | Call::Lost { sent, .. } => *sent,
+            Call::Open { sent_ms, .. }
+            | Call::Renew { sent_ms, .. }
+            | Call::Refuse { sent_ms, .. }
+            | Call::Opened { sent_ms, .. }
+            | Call::Renewed { sent_ms, .. }
+            | Call::Lost { sent_ms, .. } => *sent_ms,
         }
     }
 }
@@ -90,7 +91,7 @@
 struct Proxy {
     session_state: Option<SessionState>,
     call: Option<Call>,
-    /// The call was made before a crash: its reply is dropped.
+    /// Whether the call was sent before a crash, so that its reply is dropped.
     is_orphaned: bool,
     has_refused: bool,
     is_incompatible: bool,
@@ -99,36 +100,36 @@
 #[derive(Clone, Debug, PartialEq)]
 struct State {
     service: Store,
-    /// The renewals that the leader remembers.
+    /// The leader's record of renewals.
     liveness: Liveness,
-    /// The former leader's renewals and its state of the service, where it goes on answering.
-    former: Option<(Liveness, Store)>,
+    /// The former leader's renewals and its state of the service, if it continues to answer.
+    former_leader: Option<(Liveness, Store)>,
     term: u64,
-    /// Real time, and the log's clock, which stands still while there is no leader.
+    /// Real time, and below it the log's clock, which does not advance while there is no leader.
     now_ms: u64,
     log_ms: u64,
-    leads: bool,
+    has_leader: bool,
     elections: u8,
     crashes: u8,
     published: usize,
     proxies: Vec<Proxy>,
-    /// The real time of each commit, by version.
+    /// Each committed version and the real time of its commit.
     commits: Vec<(u64, u64)>,
-    /// The version on offer, and the log's time at which it was offered.
+    /// The offered version, and the log's time at which it was offered.
     offered: Option<(u64, u64)>,
 }
 
-/// States are equivalent that differ only in the order of proxies, in the values of revisions, or in what has expired:
-/// what is hashed is ranks of revisions and versions, slots for sessions, and times from now.
+/// States are equivalent if they differ only in the order of proxies, in the values of revisions, or in what has
+/// expired. So the hash covers the ranks of revisions and versions, the slots of sessions, and times relative to now.
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        let a = self.service.agreement();
-        let versions: Vec<u64> = a.versions().keys().copied().collect();
-        let nth = |version: u64| versions.iter().position(|v| *v == version);
-        let mut known: BTreeSet<u64> = BTreeSet::from([a.latest_change()]);
+        let agreement = self.service.agreement();
+        let versions: Vec<u64> = agreement.versions().keys().copied().collect();
+        let index = |version: u64| versions.iter().position(|v| *v == version);
+        let mut revisions: BTreeSet<u64> = BTreeSet::from([agreement.latest_change()]);
         for proxy in &self.proxies {
-            known.extend(proxy.session_state.iter().map(|s| s.announced().revision));
-            known.extend(
+            revisions.extend(proxy.session_state.iter().map(|s| s.announced().revision));
+            revisions.extend(
                 proxy
                     .session_state
                     .iter()
@@ -136,63 +137,73 @@
                     .map(|renewal| renewal.required.agreed),
             );
             if let Some(Call::Opened { required, .. } | Call::Renewed { required, .. }) = &proxy.call {
-                known.insert(required.agreed);
+                revisions.insert(required.agreed);
             }
         }
-        let rank = |at: u64| known.range(..at).count();
-        let (now, log) = (at(self.now_ms), self.log_ms);
-        // What has no effect any more is the same however old it is.
-        let ago = |sent: u64| (self.now_ms - sent).min(2 * TTL_MS);
-        let since =
-            |sent: &Instant| now.saturating_duration_since(*sent).min(Duration::from_millis(2 * TTL_MS));
-        let service = |id: u64| {
-            let s = a.sessions().get(&id)?;
-            let left = self.liveness.session_expires_at_ms(id, s).saturating_sub(log).min(4 * TTL_MS);
-            Some((s.slot, left, nth(s.acknowledged)))
+        let rank = |revision: u64| revisions.range(..revision).count();
+        let (now, log_ms) = (instant_at(self.now_ms), self.log_ms);
+        // Ages are capped: beyond twice the TTL they have no effect.
+        let age_ms = |sent_ms: u64| (self.now_ms - sent_ms).min(2 * TTL_MS);
+        let age = |sent_at: &Instant| {
+            now.saturating_duration_since(*sent_at).min(Duration::from_millis(2 * TTL_MS))
         };
-        let one = |proxy: &Proxy| {
+        let session_view = |id: u64| {
+            let s = agreement.sessions().get(&id)?;
+            let remaining_ms =
+                self.liveness.session_expires_at_ms(id, s).saturating_sub(log_ms).min(4 * TTL_MS);
+            Some((s.slot, remaining_ms, index(s.acknowledged)))
+        };
+        let hash_proxy = |proxy: &Proxy| {
             let mut hasher = DefaultHasher::new();
             let session_state = proxy.session_state.as_ref().map(|s| {
                 let announced = s.announced();
-                let waiting: Vec<_> =
-                    s.unapplied_renewals().map(|r| (since(&r.sent_at), rank(r.required.agreed))).collect();
-                let left = s.attached_until().map(|until| until.saturating_duration_since(now));
+                let unapplied: Vec<_> =
+                    s.unapplied_renewals().map(|r| (age(&r.sent_at), rank(r.required.agreed))).collect();
+                let remaining = s.attached_until().map(|until| until.saturating_duration_since(now));
                 let slot = match s.attachment(now) {
                     Attachment::Attached { slot, .. } => Some(slot),
                     Attachment::Detached => None,
                 };
-                let held = (s.session().map(service), slot);
-                let announced = (rank(announced.revision), nth(announced.committed), nth(announced.offered));
-                (announced, waiting, left, held, nth(s.acknowledged()), s.unsupported().map(nth))
+                let session = (s.session().map(session_view), slot);
+                let announced =
+                    (rank(announced.revision), index(announced.committed), index(announced.offered));
+                (
+                    announced,
+                    unapplied,
+                    remaining,
+                    session,
+                    index(s.acknowledged()),
+                    s.unsupported().map(index),
+                )
             });
             session_state.hash(&mut hasher);
             let call = proxy.call.as_ref().map(|call| {
-                let what = match call {
-                    Call::Open { acknowledged, .. } => (0, nth(*acknowledged), None, 0),
+                let content = match call {
+                    Call::Open { acknowledged, .. } => (0, index(*acknowledged), None, 0),
                     Call::Renew { session, acknowledged, .. } => {
-                        (1, nth(*acknowledged), service(*session), 0)
+                        (1, index(*acknowledged), session_view(*session), 0)
                     }
-                    Call::Refuse { session, version, .. } => (2, nth(*version), service(*session), 0),
+                    Call::Refuse { session, version, .. } => (2, index(*version), session_view(*session), 0),
                     Call::Opened { session, required, .. } => {
-                        (3, None, service(*session), rank(required.agreed))
+                        (3, None, session_view(*session), rank(required.agreed))
                     }
                     Call::Renewed { session, required, .. } => {
-                        (4, None, service(*session), rank(required.agreed))
+                        (4, None, session_view(*session), rank(required.agreed))
                     }
-                    Call::Lost { session, .. } => (5, None, service(*session), 0),
+                    Call::Lost { session, .. } => (5, None, session_view(*session), 0),
                 };
-                (what, ago(call.sent()))
+                (content, age_ms(call.sent_ms()))
             });
             (call, proxy.is_orphaned, proxy.has_refused, proxy.is_incompatible).hash(&mut hasher);
             hasher.finish()
         };
-        let mut all: Vec<u64> = self.proxies.iter().map(one).collect();
-        all.sort_unstable();
-        all.hash(state);
-        // Sessions that no proxy knows of still hold their slots.
-        let mut sessions: Vec<_> = a.sessions().keys().map(|id| service(*id)).collect();
+        let mut proxies: Vec<u64> = self.proxies.iter().map(hash_proxy).collect();
+        proxies.sort_unstable();
+        proxies.hash(state);
+        // Sessions of which no proxy has a record still occupy their slots.
+        let mut sessions: Vec<_> = agreement.sessions().keys().map(|id| session_view(*id)).collect();
         sessions.sort_unstable();
-        let statuses: Vec<u8> = a
+        let statuses: Vec<u8> = agreement
             .versions()
             .values()
             .map(|v| match v.status {
@@ -203,48 +214,50 @@
                 VersionStatus::Withdrawn(_) => 4,
             })
             .collect();
-        let commits: Vec<_> = self.commits.iter().map(|(version, at)| (nth(*version), ago(*at))).collect();
-        let offered = self.offered.map(|(version, at)| (nth(version), log - at));
+        let commits: Vec<_> =
+            self.commits.iter().map(|(version, commit_ms)| (index(*version), age_ms(*commit_ms))).collect();
+        let offered = self.offered.map(|(version, offered_ms)| (index(version), log_ms - offered_ms));
         (
             sessions,
             statuses,
             commits,
             offered,
-            a.is_tick_due(log),
-            rank(a.latest_change()),
-            &a.members().slots,
+            agreement.is_tick_due(log_ms),
+            rank(agreement.latest_change()),
+            &agreement.members().slots,
         )
             .hash(state);
-        let former = self.former.as_ref().map(|(liveness, service)| {
-            let left =
-                |(id, session): (&u64, _)| liveness.session_expires_at_ms(*id, session).saturating_sub(log);
-            let sessions: Vec<u64> = service.agreement().sessions().iter().map(left).collect();
+        let former_leader = self.former_leader.as_ref().map(|(liveness, service)| {
+            let remaining_ms = |(id, session): (&u64, _)| {
+                liveness.session_expires_at_ms(*id, session).saturating_sub(log_ms)
+            };
+            let sessions: Vec<u64> = service.agreement().sessions().iter().map(remaining_ms).collect();
             (sessions, rank(service.agreement().latest_change()))
         });
-        former.hash(state);
-        (self.now_ms, self.leads, self.elections, self.crashes, self.published).hash(state);
+        former_leader.hash(state);
+        (self.now_ms, self.has_leader, self.elections, self.crashes, self.published).hash(state);
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    /// A step of time; where there is a leader its clock ticks.
-    Pass,
-    Leader(bool),
+    /// Advances the time by a step; if there is a leader, its clock ticks.
+    AdvanceTime,
+    SetLeader(bool),
     Publish,
     Crash(usize),
     Restart(usize),
-    /// A proxy makes a call; one still in flight is lost.
+    /// The proxy sends a call; one still in flight is lost.
     Send(usize),
-    /// The service handles the call, or the proxy its reply.
-    Arrive(usize),
+    /// The service handles the call, or the proxy handles the reply.
+    Deliver(usize),
     /// The former leader answers the call.
-    ArriveAtFormer(usize),
-    /// The proxy is notified of what is agreed now.
+    DeliverToFormerLeader(usize),
+    /// The proxy is notified of the present agreement.
     Announce(usize),
 }
 
-fn at(ms: u64) -> Instant {
+fn instant_at(ms: u64) -> Instant {
     static START: OnceLock<Instant> = OnceLock::new();
     *START.get_or_init(Instant::now) + Duration::from_millis(ms)
 }
@@ -266,92 +279,92 @@
 
     fn apply(&mut self, change: Command) -> Option<CommandOutcome> {
         let command = store::Command::Agree { change, at_ms: self.log_ms };
-        let done = self.service.apply_with_outcome(&command).ok();
+        let outcome = self.service.apply_with_outcome(&command).ok();
         self.record_changes();
-        done
+        outcome
     }
 
-    /// The leader ends what has expired, and updates the membership.
+    /// The leader ends expired sessions, and updates the membership.
     fn tick(&mut self) {
         let (expired, at_ms) = (self.liveness.expired(&self.service, self.log_ms), self.log_ms);
-        let ends = [store::Command::EndExpired { expired, at_ms }, store::Command::Expire { at_ms }];
-        for command in ends {
-            self.service.apply(&command).expect("it ends what there is");
+        let commands = [store::Command::EndExpired { expired, at_ms }, store::Command::Expire { at_ms }];
+        for command in commands {
+            self.service.apply(&command).expect("a valid command");
         }
         self.record_changes();
     }
 
-    /// Another node leads from now on.
-    fn elect(&mut self, leaders: Leaders) {
+    /// Makes another node the leader.
+    fn elect(&mut self, leader_mode: LeaderMode) {
         self.term += 1;
         let liveness = std::mem::take(&mut self.liveness);
-        self.former = (leaders == Leaders::Unaware).then(|| (liveness, self.service.clone()));
+        self.former_leader =
+            (leader_mode == LeaderMode::FormerAnswers).then(|| (liveness, self.service.clone()));
         self.liveness
-            .become_leader(self.term, if leaders == Leaders::WithoutGrace { 0 } else { self.log_ms });
+            .become_leader(self.term, if leader_mode == LeaderMode::WithoutGrace { 0 } else { self.log_ms });
     }
 
-    /// What a leader with these renewals and this state of the service replies to a renewal.
-    fn renew(liveness: &mut Liveness, service: &Store, renewal: Renewal, log_ms: u64, sent: u64) -> Call {
+    /// The reply to a renewal by a leader with these renewals and this state of the service.
+    fn renew(liveness: &mut Liveness, service: &Store, renewal: Renewal, log_ms: u64, sent_ms: u64) -> Call {
         let session = renewal.session;
         let renewals = Renewals { sessions: vec![renewal], ..Renewals::default() };
         let lost = liveness.renew(&renewals, service, log_ms);
         let required = RequiredRevisions { agreed: service.agreement().latest_change(), list: 0 };
         match lost.sessions.contains_key(&session) {
-            true => Call::Lost { session, sent },
-            false => Call::Renewed { session, sent, required },
+            true => Call::Lost { session, sent_ms },
+            false => Call::Renewed { session, sent_ms, required },
         }
     }
 
-    /// Records what was committed or offered.
+    /// Records commits and the current offer.
     fn record_changes(&mut self) {
-        let a = self.service.agreement();
-        for (number, version) in a.versions() {
-            let known = self.commits.iter().any(|(n, _)| n == number);
-            if matches!(version.status, VersionStatus::Committed(_)) && !known {
+        let agreement = self.service.agreement();
+        for (number, version) in agreement.versions() {
+            let is_recorded = self.commits.iter().any(|(n, _)| n == number);
+            if matches!(version.status, VersionStatus::Committed(_)) && !is_recorded {
                 self.commits.push((*number, self.now_ms));
             }
         }
-        if self.offered.map(|(version, _)| version) != a.offered() {
-            self.offered = a.offered().map(|version| (version, self.log_ms));
+        if self.offered.map(|(version, _)| version) != agreement.offered() {
+            self.offered = agreement.offered().map(|version| (version, self.log_ms));
         }
     }
 
-    /// The slots and versions that attached proxies apply.
-    fn acting(&self) -> impl Iterator<Item = (u32, u64)> {
-        let now = at(self.now_ms);
+    /// The slot and the applied version of each attached proxy.
+    fn attached_proxies(&self) -> impl Iterator<Item = (u32, u64)> {
+        let now = instant_at(self.now_ms);
         self.proxies.iter().filter_map(move |p| match p.session_state.as_ref()?.attachment(now) {
             Attachment::Attached { slot, version, .. } => Some((slot, version)),
             Attachment::Detached => None,
         })
     }
 
-    /// The service handles a proxy's call; its reply.
+    /// Handles a proxy's call at the service; returns the reply.
     fn handle_call(&mut self, call: Call) -> Option<Call> {
         match call {
-            Call::Open { number, acknowledged, sent } => {
+            Call::Open { number, acknowledged, sent_ms } => {
                 let open = Command::Open { name: "p".into(), ttl_ms: TTL_MS, acknowledged };
                 match self.apply(open)? {
                     CommandOutcome::Opened { session, slot, required } => {
-                        Some(Call::Opened { number, session, slot, required, sent })
+                        Some(Call::Opened { number, session, slot, required, sent_ms })
                     }
                     _ => None,
                 }
             }
-            Call::Renew { session, acknowledged, sent } => {
+            Call::Renew { session, acknowledged, sent_ms } => {
                 let renewal = Renewal { session, acknowledged, ..Renewal::default() };
-                let answer = Self::renew(&mut self.liveness, &self.service, renewal, self.log_ms, sent);
-                let known = self.agreement().sessions().get(&session);
-                if known.is_none_or(|s| acknowledged <= s.acknowledged) || matches!(answer, Call::Lost { .. })
-                {
-                    return Some(answer);
+                let reply = Self::renew(&mut self.liveness, &self.service, renewal, self.log_ms, sent_ms);
+                let live = self.agreement().sessions().get(&session);
+                if live.is_none_or(|s| acknowledged <= s.acknowledged) || matches!(reply, Call::Lost { .. }) {
+                    return Some(reply);
                 }
-                // An acknowledgement is written.
+                // An acknowledgement is written to the log.
                 match self.apply(Command::Renew { renewals: vec![renewal] })? {
                     CommandOutcome::Renewed { lost, .. } if lost.contains_key(&session) => {
-                        Some(Call::Lost { session, sent })
+                        Some(Call::Lost { session, sent_ms })
                     }
                     CommandOutcome::Renewed { required, .. } => {
-                        Some(Call::Renewed { session, sent, required })
+                        Some(Call::Renewed { session, sent_ms, required })
                     }
                     _ => None,
                 }
@@ -367,36 +380,38 @@
 }
 
 impl Proxy {
-    /// The call that it would make now; one made in an earlier step is cancelled for it.
+    /// The call that the proxy would send now; it replaces one sent in an earlier step.
     fn next_call(&self, now_ms: u64) -> Option<Call> {
-        if self.call.as_ref().is_some_and(|call| call.sent() >= now_ms) {
+        if self.call.as_ref().is_some_and(|call| call.sent_ms() >= now_ms) {
             return None;
         }
         let mut session_state = self.session_state.clone()?;
-        let call = match (session_state.unsupported(), session_state.renewal(at(now_ms))) {
+        let call = match (session_state.unsupported(), session_state.renewal(instant_at(now_ms))) {
             (Some(version), Some(renewal)) if !self.has_refused => {
-                Call::Refuse { session: renewal.session, version, sent: now_ms }
+                Call::Refuse { session: renewal.session, version, sent_ms: now_ms }
             }
             (_, Some(Renewal { session, acknowledged, .. })) => {
-                Call::Renew { session, acknowledged, sent: now_ms }
+                Call::Renew { session, acknowledged, sent_ms: now_ms }
             }
             (_, None) if !session_state.is_blocked() => {
-                let number = session_state.begin_open(at(now_ms));
-                Call::Open { number, acknowledged: session_state.acknowledged(), sent: now_ms }
+                let number = session_state.begin_open(instant_at(now_ms));
+                Call::Open { number, acknowledged: session_state.acknowledged(), sent_ms: now_ms }
             }
             _ => return None,
         };
         Some(call)
     }
 
-    /// It handles a reply.
-    fn handle_reply(&mut self, answer: Call) {
+    /// Handles a reply at the proxy.
+    fn handle_reply(&mut self, reply: Call) {
         let Some(session_state) = &mut self.session_state else { return };
-        match answer {
+        match reply {
             Call::Opened { number, session, slot, required, .. } => {
                 session_state.granted(number, session, slot, required);
             }
-            Call::Renewed { session, sent, required } => session_state.renewed(session, at(sent), required),
+            Call::Renewed { session, sent_ms, required } => {
+                session_state.renewed(session, instant_at(sent_ms), required)
+            }
             Call::Lost { session, .. } => session_state.lost(session),
             _ => {}
         }
@@ -409,22 +424,22 @@
 
     fn init_states(&self) -> Vec<State> {
         let proxy = |i| Proxy {
-            session_state: Some(SessionState::new(self.held)),
+            session_state: Some(SessionState::new(self.validity)),
             call: None,
             is_orphaned: false,
             has_refused: false,
             is_incompatible: self.incompatible_proxy == Some(i),
         };
         let mut service = Store::default();
-        service.apply(&store::Command::ExpireByCommand).expect("it can");
+        service.apply(&store::Command::ExpireByCommand).expect("a valid command");
         let mut state = State {
             service,
             liveness: Liveness::default(),
-            former: None,
+            former_leader: None,
             term: 0,
             now_ms: 0,
             log_ms: 0,
-            leads: true,
+            has_leader: true,
             elections: 0,
             crashes: 0,
             published: 0,
@@ -432,11 +447,11 @@
             commits: Vec::new(),
             offered: None,
         };
-        state.elect(Leaders::Real);
-        for i in 0..if self.attached { self.proxies } else { 0 } {
-            // Sent, handled, and its reply handled.
-            for act in [Action::Send(i), Action::Arrive(i), Action::Arrive(i)] {
-                state = self.next_state(&state, act).unwrap_or(state);
+        state.elect(LeaderMode::Real);
+        for i in 0..if self.starts_attached { self.proxies } else { 0 } {
+            // Sends a call, handles it, and handles its reply.
+            for action in [Action::Send(i), Action::Deliver(i), Action::Deliver(i)] {
+                state = self.next_state(&state, action).unwrap_or(state);
             }
         }
         state.tick();
@@ -448,23 +463,23 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         if state.now_ms < self.steps * STEP_MS {
-            actions.push(Action::Pass);
+            actions.push(Action::AdvanceTime);
         }
-        if !state.leads || state.elections < self.elections {
-            actions.push(Action::Leader(!state.leads));
+        if !state.has_leader || state.elections < self.elections {
+            actions.push(Action::SetLeader(!state.has_leader));
         }
-        if state.leads && state.published < self.versions {
+        if state.has_leader && state.published < self.versions {
             actions.push(Action::Publish);
         }
-        let known = state.agreement().latest_change();
+        let latest_change = state.agreement().latest_change();
         for (i, proxy) in state.proxies.iter().enumerate() {
             match &proxy.call {
-                Some(Call::Open { .. } | Call::Renew { .. } | Call::Refuse { .. }) if !state.leads => {}
-                Some(_) => actions.push(Action::Arrive(i)),
+                Some(Call::Open { .. } | Call::Renew { .. } | Call::Refuse { .. }) if !state.has_leader => {}
+                Some(_) => actions.push(Action::Deliver(i)),
                 None => {}
             }
-            if matches!(proxy.call, Some(Call::Renew { .. })) && state.former.is_some() {
-                actions.push(Action::ArriveAtFormer(i));
+            if matches!(proxy.call, Some(Call::Renew { .. })) && state.former_leader.is_some() {
+                actions.push(Action::DeliverToFormerLeader(i));
             }
             match &proxy.session_state {
                 None => actions.push(Action::Restart(i)),
@@ -475,7 +490,7 @@
                     if proxy.next_call(state.now_ms).is_some() {
                         actions.push(Action::Send(i));
                     }
-                    if session_state.announced().revision < known {
+                    if session_state.announced().revision < latest_change {
                         actions.push(Action::Announce(i));
                     }
                 }
@@ -483,21 +498,21 @@
         }
     }
 
-    fn next_state(&self, before: &State, act: Action) -> Option<State> {
+    fn next_state(&self, before: &State, action: Action) -> Option<State> {
         let mut state = before.clone();
-        match act {
-            Action::Pass => {
+        match action {
+            Action::AdvanceTime => {
                 state.now_ms += STEP_MS;
-                if state.leads {
+                if state.has_leader {
                     state.log_ms += STEP_MS;
                     state.tick();
                 }
             }
-            Action::Leader(leads) => {
-                state.leads = leads;
-                state.elections += u8::from(!leads);
-                if leads {
-                    state.elect(self.leaders);
+            Action::SetLeader(has_leader) => {
+                state.has_leader = has_leader;
+                state.elections += u8::from(!has_leader);
+                if has_leader {
+                    state.elect(self.leader_mode);
                 }
             }
             Action::Publish => {
@@ -510,59 +525,59 @@
                 state.crashes += 1;
                 let proxy = &mut state.proxies[i];
                 (proxy.session_state, proxy.is_orphaned) = (None, true);
-                // The service may still handle its call; a reply is lost.
+                // The service may still handle the proxy's call; a reply is lost.
                 proxy.call =
                     proxy.call.take().filter(|c| matches!(c, Call::Open { .. } | Call::Renew { .. }));
             }
             Action::Restart(i) => {
                 let proxy = &mut state.proxies[i];
-                (proxy.session_state, proxy.has_refused) = (Some(SessionState::new(self.held)), false);
+                (proxy.session_state, proxy.has_refused) = (Some(SessionState::new(self.validity)), false);
             }
             Action::Send(i) => {
                 let proxy = &mut state.proxies[i];
                 let call = proxy.next_call(state.now_ms)?;
                 if let (Call::Open { .. }, Some(session_state)) = (&call, &mut proxy.session_state) {
-                    session_state.begin_open(at(state.now_ms));
+                    session_state.begin_open(instant_at(state.now_ms));
                 }
                 proxy.has_refused |= matches!(call, Call::Refuse { .. });
                 (proxy.call, proxy.is_orphaned) = (Some(call), false);
-                if self.prompt {
-                    return self.next_state(&state, Action::Arrive(i)).filter(|_| state.leads);
+                if self.instant_calls {
+                    return self.next_state(&state, Action::Deliver(i)).filter(|_| state.has_leader);
                 }
             }
-            Action::Arrive(i) => {
+            Action::Deliver(i) => {
                 let call = state.proxies[i].call.take()?;
-                let answer = matches!(call, Call::Opened { .. } | Call::Renewed { .. } | Call::Lost { .. });
-                if answer {
+                let is_reply = matches!(call, Call::Opened { .. } | Call::Renewed { .. } | Call::Lost { .. });
+                if is_reply {
                     state.proxies[i].handle_reply(call);
                 } else {
-                    let answer = state.handle_call(call);
+                    let reply = state.handle_call(call);
                     let proxy = &mut state.proxies[i];
-                    proxy.call = answer.filter(|_| !proxy.is_orphaned);
+                    proxy.call = reply.filter(|_| !proxy.is_orphaned);
                 }
             }
-            Action::ArriveAtFormer(i) => {
-                let Call::Renew { session, acknowledged, sent } = state.proxies[i].call.take()? else {
+            Action::DeliverToFormerLeader(i) => {
+                let Call::Renew { session, acknowledged, sent_ms } = state.proxies[i].call.take()? else {
                     return None;
                 };
                 let renewal = Renewal { session, acknowledged, ..Renewal::default() };
-                let (liveness, service) = state.former.as_mut()?;
-                let answer = State::renew(liveness, service, renewal, state.log_ms, sent);
+                let (liveness, service) = state.former_leader.as_mut()?;
+                let reply = State::renew(liveness, service, renewal, state.log_ms, sent_ms);
                 let proxy = &mut state.proxies[i];
-                proxy.call = Some(answer).filter(|_| !proxy.is_orphaned);
+                proxy.call = Some(reply).filter(|_| !proxy.is_orphaned);
             }
             Action::Announce(i) => {
-                let a = state.service.agreement();
+                let agreement = state.service.agreement();
                 let announcement = Announcement {
-                    revision: a.latest_change(),
-                    members: a.members().revision,
-                    committed: a.committed(),
-                    offered: a.offered().unwrap_or(0),
+                    revision: agreement.latest_change(),
+                    members: agreement.members().revision,
+                    committed: agreement.committed(),
+                    offered: agreement.offered().unwrap_or(0),
                 };
-                let second = a.versions().keys().nth(1).copied();
+                let second_version = agreement.versions().keys().nth(1).copied();
                 let proxy = &mut state.proxies[i];
-                let can = |version| !(proxy.is_incompatible && Some(version) == second);
-                proxy.session_state.as_mut()?.receive(announcement, can);
+                let can_apply = |version| !(proxy.is_incompatible && Some(version) == second_version);
+                proxy.session_state.as_mut()?.receive(announcement, can_apply);
             }
         }
         Some(state)
@@ -572,12 +587,12 @@
         vec![
             Property::always(SLOTS_ARE_EXCLUSIVE, |_, state: &State| {
                 let mut slots = BTreeSet::new();
-                state.acting().all(|(slot, _)| slots.insert(slot))
+                state.attached_proxies().all(|(slot, _)| slots.insert(slot))
             }),
             Property::always(STALENESS_IS_BOUNDED, |_, state: &State| {
-                state.acting().all(|(_, version)| {
-                    let next = state.commits.iter().filter(|(n, _)| *n > version).map(|(_, at)| *at).min();
-                    next.is_none_or(|at| state.now_ms < at + TTL_MS)
+                state.attached_proxies().all(|(_, version)| {
+                    let next_ms = state.commits.iter().filter(|(n, _)| *n > version).map(|(_, ms)| *ms).min();
+                    next_ms.is_none_or(|ms| state.now_ms < ms + TTL_MS)
                 })
             }),
             Property::always("a committed version is never lost", |_, state: &State| {
@@ -585,34 +600,35 @@
                 state.agreement().committed() == latest
             }),
             Property::always("no proxy applies a version that is not committed", |_, state: &State| {
-                let known = |v: u64| v == 0 || state.commits.iter().any(|(n, _)| *n == v);
-                state.acting().all(|(_, version)| known(version))
+                let is_committed = |v: u64| v == 0 || state.commits.iter().any(|(n, _)| *n == v);
+                state.attached_proxies().all(|(_, version)| is_committed(version))
             }),
             Property::always(
                 "every live session has acknowledged the committed version",
                 |_, state: &State| {
-                    let a = state.agreement();
-                    a.sessions().values().all(|s| s.acknowledged >= a.committed())
+                    let agreement = state.agreement();
+                    agreement.sessions().values().all(|s| s.acknowledged >= agreement.committed())
                 },
             ),
             Property::always("every offer ends", |_, state: &State| {
-                // A new leader gives everybody a TTL more.
+                // A new leader extends every session by a TTL.
                 let bound = (2 + u64::from(state.elections)) * TTL_MS;
-                let over = |(_, at): (u64, u64)| state.log_ms > at + bound;
-                !state.offered.is_some_and(over)
+                let is_overdue = |(_, offered_ms): (u64, u64)| state.log_ms > offered_ms + bound;
+                !state.offered.is_some_and(is_overdue)
             }),
             Property::always("no proxy applies a version that it cannot apply", |_, state: &State| {
                 let second = state.agreement().versions().keys().nth(1).copied();
                 state.proxies.iter().filter(|p| p.is_incompatible).all(|p| {
-                    let acts = p.session_state.as_ref().map(|s| s.attachment(at(state.now_ms)));
-                    !matches!(acts, Some(Attachment::Attached { version, .. }) if Some(version) == second)
+                    let applied = p.session_state.as_ref().map(|s| s.attachment(instant_at(state.now_ms)));
+                    !matches!(applied, Some(Attachment::Attached { version, .. }) if Some(version) == second)
                 })
             }),
             Property::sometimes(ALL_PROXIES_FOLLOW, |model: &Configuration, state: &State| {
                 let last = state.commits.last().map_or(0, |c| c.0);
                 state.published == model.versions
                     && state.agreement().head() == last
-                    && state.acting().filter(|(_, version)| *version == last).count() == model.proxies
+                    && state.attached_proxies().filter(|(_, version)| *version == last).count()
+                        == model.proxies
             }),
         ]
     }
@@ -622,26 +638,26 @@
 const STALENESS_IS_BOUNDED: &str = "no version is applied for longer than W after the next is committed";
 const ALL_PROXIES_FOLLOW: &str = "the last version is applied by all proxies";
 
-fn real() -> Duration {
+fn real_validity() -> Duration {
     lease::holder_validity(Duration::from_millis(TTL_MS))
 }
 
-/// Explores all states: how many there are, and the properties found broken, or reached.
-fn check(configuration: Configuration) -> (usize, Vec<&'static str>) {
-    let began = Instant::now();
+/// Explores all states; returns their number, and the properties found violated or, for `sometimes`, reached.
+fn explore(configuration: Configuration) -> (usize, Vec<&'static str>) {
+    let started_at = Instant::now();
     let checker = configuration.clone().checker().threads(4).spawn_dfs().join();
     let found: Vec<&'static str> = checker.discoveries().into_keys().collect();
     eprintln!(
         "{configuration:?}: {} states in {:?}, found {found:?}",
         checker.unique_state_count(),
-        began.elapsed()
+        started_at.elapsed()
     );
     (checker.unique_state_count(), found)
 }
 
-/// Explores a configuration under the real bound: no property is broken, and all proxies follow in some state.
-fn assert_holds(configuration: Configuration) {
-    let (_, found) = check(configuration.clone());
+/// Explores a configuration under the real bound: no property is violated, and in some state all proxies follow.
+fn assert_properties_hold(configuration: Configuration) {
+    let (_, found) = explore(configuration.clone());
     assert_eq!(found, [ALL_PROXIES_FOLLOW], "{configuration:?}");
 }
 
@@ -651,82 +667,107 @@
     steps: 3,
     crashes: 0,
     elections: 0,
-    held: Duration::ZERO,
+    validity: Duration::ZERO,
     incompatible_proxy: None,
-    attached: true,
-    prompt: true,
-    leaders: Leaders::Real,
+    starts_attached: true,
+    instant_calls: true,
+    leader_mode: LeaderMode::Real,
 };
 
 #[test]
 fn a_slot_has_one_holder_over_crashes_expiries_and_a_lost_leader() {
-    let base = Configuration { held: real(), attached: false, ..BASE };
-    assert_holds(Configuration { steps: 4, crashes: 1, elections: 1, ..base });
-    assert_holds(Configuration { proxies: 3, steps: 2, ..base });
-    assert_holds(Configuration { prompt: false, ..base });
+    let base = Configuration { validity: real_validity(), starts_attached: false, ..BASE };
+    assert_properties_hold(Configuration { steps: 4, crashes: 1, elections: 1, ..base });
+    assert_properties_hold(Configuration { proxies: 3, steps: 2, ..base });
+    assert_properties_hold(Configuration { instant_calls: false, ..base });
 }
 
 #[test]
 fn versions_are_applied_within_w_and_every_offer_ends() {
-    let base = Configuration { held: real(), ..BASE };
-    assert_holds(Configuration { proxies: 3, versions: 1, steps: 2, ..base });
-    assert_holds(Configuration { versions: 2, ..base });
-    assert_holds(Configuration { versions: 1, steps: 5, ..base });
-    assert_holds(Configuration { versions: 1, prompt: false, ..base });
-    assert_holds(Configuration { versions: 1, crashes: 1, elections: 1, ..base });
+    let base = Configuration { validity: real_validity(), ..BASE };
+    assert_properties_hold(Configuration { proxies: 3, versions: 1, steps: 2, ..base });
+    assert_properties_hold(Configuration { versions: 2, ..base });
+    assert_properties_hold(Configuration { versions: 1, steps: 5, ..base });
+    assert_properties_hold(Configuration { versions: 1, instant_calls: false, ..base });
+    assert_properties_hold(Configuration { versions: 1, crashes: 1, elections: 1, ..base });
 }
 
 #[test]
 fn a_proxy_that_cannot_apply_a_version_stops_it_for_all() {
-    let configuration =
-        Configuration { held: real(), versions: 2, steps: 2, incompatible_proxy: Some(0), ..BASE };
-    assert_holds(configuration);
+    let configuration = Configuration {
+        validity: real_validity(),
+        versions: 2,
+        steps: 2,
+        incompatible_proxy: Some(0),
+        ..BASE
+    };
+    assert_properties_hold(configuration);
 }
 
 #[test]
 fn a_broken_bound_is_found_by_the_checker() {
-    let long = Duration::from_millis(TTL_MS + 2 * STEP_MS);
-    let (_, found) = check(Configuration { held: long, crashes: 1, ..BASE });
+    let too_long = Duration::from_millis(TTL_MS + 2 * STEP_MS);
+    let (_, found) = explore(Configuration { validity: too_long, crashes: 1, ..BASE });
     assert!(found.contains(&SLOTS_ARE_EXCLUSIVE), "{found:?}");
-    let (_, found) = check(Configuration { held: long, versions: 1, steps: 4, ..BASE });
+    let (_, found) = explore(Configuration { validity: too_long, versions: 1, steps: 4, ..BASE });
     assert!(found.contains(&STALENESS_IS_BOUNDED), "{found:?}");
 }
 
 #[test]
 fn a_new_leader_without_grace_is_found_by_the_checker() {
-    let base = Configuration { held: real(), elections: 1, leaders: Leaders::WithoutGrace, ..BASE };
-    let (_, found) = check(Configuration { steps: 5, crashes: 1, ..base });
+    let base = Configuration {
+        validity: real_validity(),
+        elections: 1,
+        leader_mode: LeaderMode::WithoutGrace,
+        ..BASE
+    };
+    let (_, found) = explore(Configuration { steps: 5, crashes: 1, ..base });
     assert!(found.contains(&SLOTS_ARE_EXCLUSIVE), "{found:?}");
 }
 
-/// One schedule of that fault: a proxy renews at the former leader alone, while the present one ends its session and
+/// One schedule of this fault: a proxy renews only at the former leader, while the present leader ends its session and
 /// commits a version without it.
 #[test]
 fn a_former_leader_that_answers_renewals_breaks_the_bound() {
-    let renewed = [Action::Send(0), Action::ArriveAtFormer(0), Action::Arrive(0), Action::Pass];
-    for (leaders, broken) in [(Leaders::Unaware, true), (Leaders::Real, false)] {
-        let model = Configuration { proxies: 1, versions: 1, held: real(), prompt: false, leaders, ..BASE };
+    let renewed =
+        [Action::Send(0), Action::DeliverToFormerLeader(0), Action::Deliver(0), Action::AdvanceTime];
+    for (leader_mode, is_violated) in [(LeaderMode::FormerAnswers, true), (LeaderMode::Real, false)] {
+        let model = Configuration {
+            proxies: 1,
+            versions: 1,
+            validity: real_validity(),
+            instant_calls: false,
+            leader_mode,
+            ..BASE
+        };
         let mut state = model.init_states().remove(0);
-        let elected = [Action::Leader(false), Action::Leader(true), Action::Publish];
-        for act in elected.into_iter().chain((0..4).flat_map(|_| renewed.clone())) {
-            // What the real leaders do not do is passed over.
-            state = model.next_state(&state, act).unwrap_or(state);
+        let elected = [Action::SetLeader(false), Action::SetLeader(true), Action::Publish];
+        for action in elected.into_iter().chain((0..4).flat_map(|_| renewed.clone())) {
+            // Actions that the real leaders do not take are skipped.
+            state = model.next_state(&state, action).unwrap_or(state);
         }
-        let within = model.property(STALENESS_IS_BOUNDED);
-        assert_eq!(!(within.condition)(&model, &state), broken, "{leaders:?}");
+        let property = model.property(STALENESS_IS_BOUNDED);
+        assert_eq!(!(property.condition)(&model, &state), is_violated, "{leader_mode:?}");
     }
 }
 
-/// Larger configurations, looked at when `AGREEMENT_DEEP` is set: minutes, and gigabytes of memory.
+/// Explores larger configurations if `AGREEMENT_DEEP` is set; this takes minutes, and gigabytes of memory.
 #[test]
 fn larger_configurations_hold() {
     if std::env::var("AGREEMENT_DEEP").is_err() {
         return;
     }
-    let base = Configuration { held: real(), ..BASE };
-    assert_holds(Configuration { proxies: 3, versions: 2, steps: 2, ..base });
-    assert_holds(Configuration { proxies: 3, steps: 3, attached: false, ..base });
-    assert_holds(Configuration { proxies: 3, steps: 2, crashes: 1, elections: 1, attached: false, ..base });
-    assert_holds(Configuration { versions: 2, steps: 3, prompt: false, ..base });
-    assert_holds(Configuration { versions: 2, steps: 3, crashes: 1, elections: 1, ..base });
+    let base = Configuration { validity: real_validity(), ..BASE };
+    assert_properties_hold(Configuration { proxies: 3, versions: 2, steps: 2, ..base });
+    assert_properties_hold(Configuration { proxies: 3, steps: 3, starts_attached: false, ..base });
+    assert_properties_hold(Configuration {
+        proxies: 3,
+        steps: 2,
+        crashes: 1,
+        elections: 1,
+        starts_attached: false,
+        ..base
+    });
+    assert_properties_hold(Configuration { versions: 2, steps: 3, instant_calls: false, ..base });
+    assert_properties_hold(Configuration { versions: 2, steps: 3, crashes: 1, elections: 1, ..base });
 }
--- a/tests/follower_calls.rs
+++ b/tests/follower_calls.rs
@@ -1,5 +1,5 @@
-//! The calls that a proxy makes to follow the agreement, and what its owner is told, against the record in
-//! `tests/golden/settings/follower_calls.txt`. The list service is a script that answers each call in turn.
+//! Compares the calls that a proxy makes to follow the agreement, and the notifications of its owner, with the record
+//! in `tests/golden/settings/follower_calls.txt`. A scripted list service answers the calls.
 
 #[path = "golden/compare.rs"]
 mod compare;
@@ -23,17 +23,17 @@
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
-/// So long that nothing runs out during the test.
+/// Long enough that nothing expires during the test.
 const TTL: Duration = Duration::from_secs(60);
 const STATE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The list service of the script.
+/// A scripted list service.
 #[derive(Default)]
 struct Service {
-    /// What is agreed now; none until the first call of the session has come.
-    agreed: RefCell<Option<Value>>,
+    /// The present agreement; `None` until the first session call has arrived.
+    agreement: RefCell<Option<Value>>,
     session_answers: RefCell<VecDeque<(u16, Value)>>,
-    watches: RefCell<Vec<String>>,
+    watch_calls: RefCell<Vec<String>>,
     session_calls: RefCell<Vec<String>>,
 }
 
@@ -44,24 +44,24 @@
         let target = head.uri.to_string();
         let body = body.collect().await.expect("a body").to_bytes();
         if head.method == "GET" {
-            self.watches.borrow_mut().push(target.clone());
-            return (200, self.agreed_after(&target).await);
+            self.watch_calls.borrow_mut().push(target.clone());
+            return (200, self.agreement_after(&target).await);
         }
-        // Read and written again: the order of an object's members says nothing.
+        // The body is parsed and serialized again, since the order of an object's members is irrelevant.
         let body: Value = serde_json::from_slice(&body).expect("JSON");
         self.session_calls.borrow_mut().push(format!("{} {target} {body}", head.method));
-        self.session_answers.borrow_mut().pop_front().unwrap_or((503, json!({"error": "off the script"})))
+        self.session_answers.borrow_mut().pop_front().unwrap_or((503, json!({"error": "unexpected call"})))
     }
 
-    /// Waits for what is agreed to differ from what the watch knows.
-    async fn agreed_after(&self, target: &str) -> Value {
+    /// Waits until the agreement differs from the revision that the watch already has.
+    async fn agreement_after(&self, target: &str) -> Value {
         let since = target.split_once("since=").and_then(|(_, rest)| rest.split('&').next());
         let since: Option<u64> = since.map(|since| since.parse().expect("a revision"));
         loop {
-            if let Some(agreed) = &*self.agreed.borrow()
-                && since.is_none_or(|since| agreed["at"] != since)
+            if let Some(agreement) = &*self.agreement.borrow()
+                && since.is_none_or(|since| agreement["at"] != since)
             {
-                return agreed.clone();
+                return agreement.clone();
             }
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
@@ -93,11 +93,11 @@
     address
 }
 
-/// The proxy: it can apply at most four attempts.
+/// A proxy that can apply at most four attempts.
 #[derive(Clone, Default)]
 struct Proxy {
-    told: Rc<RefCell<Vec<String>>>,
-    behind: Rc<Cell<usize>>,
+    notifications: Rc<RefCell<Vec<String>>>,
+    list_behind_count: Rc<Cell<usize>>,
 }
 
 impl Owner for Proxy {
@@ -108,8 +108,8 @@
         }
     }
 
-    fn follow(&self, following: &AppliedAgreement) {
-        let line = match following {
+    fn follow(&self, agreement: &AppliedAgreement) {
+        let line = match agreement {
             AppliedAgreement::Detached => "detached".to_string(),
             AppliedAgreement::Attached { slot, version, document, members } => {
                 let attempts = document.as_ref().map(|document| document.max_attempts);
@@ -119,11 +119,11 @@
                 )
             }
         };
-        self.told.borrow_mut().push(line);
+        self.notifications.borrow_mut().push(line);
     }
 
     fn list_is_behind(&self) {
-        self.behind.set(self.behind.get() + 1);
+        self.list_behind_count.set(self.list_behind_count.get() + 1);
     }
 }
 
@@ -136,11 +136,11 @@
     })
 }
 
-/// Waits until `reached` holds.
-async fn wait_for(what: &str, reached: impl Fn() -> bool) {
+/// Waits until `condition` is true; `description` names it in the failure.
+async fn wait_for(description: &str, condition: impl Fn() -> bool) {
     let deadline = Instant::now() + STATE_TIMEOUT;
-    while !reached() {
-        assert!(Instant::now() < deadline, "{what}");
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting for {description}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
@@ -150,15 +150,15 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let (service, proxy) = (Rc::new(Service::default()), Proxy::default());
-        let calls = |count: usize| {
+        let wait_for_calls = |count: usize| {
             let service = service.clone();
             async move { wait_for("session calls", || service.session_calls.borrow().len() >= count).await }
         };
-        let told = |count: usize| {
-            let told = proxy.told.clone();
-            async move { wait_for("what the owner is told", || told.borrow().len() >= count).await }
+        let wait_for_notifications = |count: usize| {
+            let notifications = proxy.notifications.clone();
+            async move { wait_for("notifications", || notifications.borrow().len() >= count).await }
         };
-        let agree = |agreed: Value| drop(service.agreed.replace(Some(agreed)));
+        let announce = |agreement: Value| drop(service.agreement.replace(Some(agreement)));
         let members = json!({"revision": 2, "slots": "0"});
         service.session_answers.borrow_mut().extend([
             (409, json!({"error": "version 3 has to be held first", "hold": 3})),
@@ -167,7 +167,7 @@
             (503, json!({"error": "no leader"})),
             (200, json!({"revision": 7})),
             (200, json!({"agreed": 6, "list": 5})),
-            // The acknowledgement of version 9: no leader at first, and then the session is lost.
+            // The acknowledgement of version 9: there is no leader at first, and then the session is lost.
             (503, json!({"error": "no leader"})),
             (409, json!({"error": "session 9 is not known; it may have run out"})),
             (200, json!({"session": 12, "slot": 1, "agreed": 9, "list": 5})),
@@ -178,29 +178,29 @@
             FollowerConfig { name: "p".into(), addresses: vec![address], ttl: TTL, clock_rate: 1.0, seed: 7 };
         let follower = Follower::start(config, Box::new(proxy.clone()));
         follower.list_applied(5);
-        calls(1).await;
-        agree(json!({"at": 3, "members": members, "offered": {"version": 3, "document": document(2)}}));
-        told(1).await;
-        agree(json!({"at": 5, "members": members, "committed": {"version": 3}}));
-        told(2).await;
-        agree(json!({"at": 6, "members": members, "committed": {"version": 3},
+        wait_for_calls(1).await;
+        announce(json!({"at": 3, "members": members, "offered": {"version": 3, "document": document(2)}}));
+        wait_for_notifications(1).await;
+        announce(json!({"at": 5, "members": members, "committed": {"version": 3}}));
+        wait_for_notifications(2).await;
+        announce(json!({"at": 6, "members": members, "committed": {"version": 3},
                      "offered": {"version": 6, "document": document(5)}}));
-        calls(5).await;
-        agree(json!({"at": 8, "members": {"revision": 8, "slots": "0-1"}, "committed": {"version": 3}}));
-        told(3).await;
-        agree(json!({"at": 9, "members": {"revision": 8, "slots": "0-1"}, "committed": {"version": 3},
+        wait_for_calls(5).await;
+        announce(json!({"at": 8, "members": {"revision": 8, "slots": "0-1"}, "committed": {"version": 3}}));
+        wait_for_notifications(3).await;
+        announce(json!({"at": 9, "members": {"revision": 8, "slots": "0-1"}, "committed": {"version": 3},
                      "offered": {"version": 9, "document": document(4)}}));
-        told(5).await;
+        wait_for_notifications(5).await;
         follower.close().await;
-        calls(9).await;
-        let mut watches = service.watches.borrow().clone();
-        watches.dedup();
+        wait_for_calls(9).await;
+        let mut watch_calls = service.watch_calls.borrow().clone();
+        watch_calls.dedup();
         let record = format!(
             "watches:\n{}\nsession calls:\n{}\nowner:\n{}\nlist behind: {}\n",
-            watches.join("\n"),
+            watch_calls.join("\n"),
             service.session_calls.borrow().join("\n"),
-            proxy.told.borrow().join("\n"),
-            proxy.behind.get()
+            proxy.notifications.borrow().join("\n"),
+            proxy.list_behind_count.get()
         );
         assert_golden("settings/follower_calls.txt", &record);
     });
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -1,12 +1,12 @@
-//! A model check of the lease protocol: the list service's store, holders with their `Lease` handles and
-//! clocks that drift by up to 2%, a resource behind a `Fence`, and a network that delays, loses and holds
-//! messages back, explored over random schedules with a fixed seed.
+//! A model check of the lease protocol over random schedules with a fixed seed: the list service's store, holders
+//! with their `Lease` handles and clocks that drift by up to 2%, a resource behind a `Fence`, and a network that
+//! delays and loses messages.
 //!
-//! What must hold in every schedule:
-//! - whenever a holder decides to act, the service holds the lease for that holder, unexpired, under the
-//!   token it shows or a newer one of its own: no two holders' acts with valid tokens overlap;
-//! - the tokens that the resource admits only grow, and an act under a lower token than one admitted is
-//!   fenced off.
+//! Invariants of every schedule:
+//! - whenever a holder decides to act, the service has an unexpired grant of the lease to that holder, under the
+//!   token of the act or a newer one of the same holder: no two holders' acts with valid tokens overlap;
+//! - the tokens that the resource admits only grow, and an act with a token lower than one already admitted is
+//!   rejected.
 
 use linkhatch_proxy::lease::{Contender, Fence, Lease};
 use linkhatch_proxy::registry::store::{Command, Store, StoreError};
@@ -19,25 +19,25 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Real time passes, in ms.
+    /// Real time advances, in ms.
     Wait(u64),
-    /// A holder acquires the lease, or renews the one it has; the request and the answer take these delays (ms), and the
-    /// request is lost if `lost`.
+    /// A holder acquires the lease, or renews it if it holds one. The request and the answer have these delays (ms),
+    /// and the request is lost if `lost`.
     AcquireOrRenew { holder: usize, request_delay: u64, answer_delay: u64, lost: bool },
-    /// A holder acts if its handle says it may; the act reaches the resource after `delay` ms (long: the holder was paused
-    /// between its check and its act).
+    /// A holder acts if its handle permits it. The act reaches the resource after `delay` ms (a long delay is a holder
+    /// that was paused between its check and its act).
     Act { holder: usize, delay: u64 },
-    /// A holder relinquishes its lease: it stops acting, then releases it at the service, which is reached `request_delay`
-    /// ms later.
+    /// A holder relinquishes its lease: it stops acting, then releases it at the service; the request arrives
+    /// `request_delay` ms later.
     Release { holder: usize, request_delay: u64 },
-    /// A holder dies.
+    /// A holder crashes.
     Kill(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         12 => (0u64..400).prop_map(Step::Wait),
-        // Waits of about a TTL, so that acts fall near the end of a grant, where drift matters.
+        // Waits of nearly a TTL, so that acts occur near the end of a grant, where drift matters.
         8 => (940u64..1000).prop_map(Step::Wait),
         16 => (0usize..3, 0u64..120, 0u64..120, prop::bool::weighted(0.33))
             .prop_map(|(holder, request_delay, answer_delay, lost)| Step::AcquireOrRenew { holder, request_delay, answer_delay, lost }),
@@ -50,40 +50,41 @@
 /// A request of a holder to the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Request {
-    /// With the number of the acquire.
+    /// An acquire with this number.
     Acquire(u64),
-    /// With the token renewed.
+    /// A renewal of the grant with this token.
     KeepAlive(u64),
     Release,
 }
 
-/// What is on its way, by the real time of its arrival.
+/// A message in flight.
 enum Message {
-    /// A request at the service, sent at `sent_at` by the holder's clock.
+    /// A request to the service, sent at `sent_at` by the holder's clock.
     Request { holder: usize, request: Request, command: Command, answer_delay: u64, sent_at: Instant },
-    /// An answer at a holder: the token now, or why there is none.
+    /// An answer to a holder: the present grant's token, or the error.
     Answer { holder: usize, request: Request, result: Result<u64, StoreError>, sent_at: Instant },
-    /// An act at the resource under a token.
+    /// An act at the resource with a token.
     Act(u64),
 }
 
 struct Holder {
-    /// Its clock's speed against real time.
-    speed: f64,
+    /// The rate of its clock against real time.
+    clock_rate: f64,
     contender: Contender,
-    dead: bool,
+    is_crashed: bool,
 }
 
 struct World {
-    now: u64,
-    base: Instant,
+    now_ms: u64,
+    start: Instant,
     store: Store,
     holders: Vec<Holder>,
+    /// Messages in flight, by the real time of their arrival (ms) and their number.
     queue: BTreeMap<(u64, u64), Message>,
     sequence: u64,
     fence: Fence,
     admitted: Vec<u64>,
-    fenced: usize,
+    rejected: usize,
     overlapping: usize,
     acts: usize,
 }
@@ -91,23 +92,23 @@
 impl World {
     /// The time by a holder's clock.
     fn local_time(&self, holder: usize) -> Instant {
-        self.base + Duration::from_secs_f64(self.now as f64 * self.holders[holder].speed / 1000.0)
+        self.start + Duration::from_secs_f64(self.now_ms as f64 * self.holders[holder].clock_rate / 1000.0)
     }
 
     fn send(&mut self, delay: u64, message: Message) {
         self.sequence += 1;
-        self.queue.insert((self.now + delay, self.sequence), message);
+        self.queue.insert((self.now_ms + delay, self.sequence), message);
     }
 
-    /// Delivers everything due by `until`, in order.
-    fn run_to(&mut self, until: u64) {
-        while let Some(&(at, n)) = self.queue.keys().next().filter(|(at, _)| *at <= until) {
-            let message = self.queue.remove(&(at, n)).expect("just seen");
-            self.now = at;
+    /// Delivers all messages due by `end_ms`, in order.
+    fn run_to(&mut self, end_ms: u64) {
+        while let Some(&(due_ms, n)) = self.queue.keys().next().filter(|(due_ms, _)| *due_ms <= end_ms) {
+            let message = self.queue.remove(&(due_ms, n)).expect("a queued message");
+            self.now_ms = due_ms;
             match message {
                 Message::Request { holder, request, mut command, answer_delay, sent_at } => {
                     if let Command::Acquire { at_ms, .. } | Command::KeepAlive { at_ms, .. } = &mut command {
-                        *at_ms = at;
+                        *at_ms = due_ms;
                     }
                     let applied = self.store.apply(&command);
                     let result = applied.map(|_| self.store.lease(NAME).map_or(0, |grant| grant.token));
@@ -126,20 +127,20 @@
                 }
                 Message::Act(token) => match self.fence.admit(token) {
                     Ok(()) => self.admitted.push(token),
-                    Err(_) => self.fenced += 1,
+                    Err(_) => self.rejected += 1,
                 },
             }
         }
-        self.now = until;
+        self.now_ms = end_ms;
     }
 
-    fn play(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         match *step {
-            Step::Wait(ms) => self.run_to(self.now + ms),
-            Step::Kill(holder) => self.holders[holder].dead = true,
+            Step::Wait(ms) => self.run_to(self.now_ms + ms),
+            Step::Kill(holder) => self.holders[holder].is_crashed = true,
             Step::Release { holder, request_delay } => self.release(holder, request_delay),
             Step::AcquireOrRenew { holder, request_delay, answer_delay, lost } => {
-                if !self.holders[holder].dead {
+                if !self.holders[holder].is_crashed {
                     self.acquire_or_renew(holder, request_delay, answer_delay, lost);
                 }
             }
@@ -173,16 +174,17 @@
 
     fn act(&mut self, holder: usize, delay: u64) {
         let now = self.local_time(holder);
-        let Holder { contender, dead, .. } = &self.holders[holder];
-        let Some(token) = contender.may_act(now).filter(|_| !dead) else { return };
+        let Holder { contender, is_crashed, .. } = &self.holders[holder];
+        let Some(token) = contender.may_act(now).filter(|_| !is_crashed) else { return };
         self.acts += 1;
-        // The service must hold the lease for this holder, unexpired, now, under this token or a newer one of its own (a
-        // retried acquire that crossed with an earlier one): then no other holder can act at the same time.
+        // The service must have an unexpired grant to this holder now, under this token or a newer one of the same
+        // holder (from a retried acquire that crossed with an earlier one). Then no other holder can act at the same
+        // time.
         let name = format!("h{holder}");
-        let is_held = self.store.lease(NAME).is_some_and(|grant| {
-            grant.holder == name && grant.token >= token && grant.expires_at_ms > self.now
+        let is_granted = self.store.lease(NAME).is_some_and(|grant| {
+            grant.holder == name && grant.token >= token && grant.expires_at_ms > self.now_ms
         });
-        if !is_held {
+        if !is_granted {
             self.overlapping += 1;
         }
         self.send(delay, Message::Act(token));
@@ -201,23 +203,27 @@
         speeds in prop::collection::vec(prop_oneof![Just(0.98), Just(1.0), Just(1.02)], 3),
         steps in prop::collection::vec(step(), 1..120),
     ) {
-        let holders = speeds.iter().map(|&speed| Holder { speed, contender: Contender::default(), dead: false }).collect();
+        let holders = speeds
+            .iter()
+            .map(|&clock_rate| Holder { clock_rate, contender: Contender::default(), is_crashed: false })
+            .collect();
         let mut world = World {
-            now: 0, base: Instant::now(), store: Store::default(), holders, queue: BTreeMap::new(), sequence: 0,
-            fence: Fence::default(), admitted: Vec::new(), fenced: 0, overlapping: 0, acts: 0,
+            now_ms: 0, start: Instant::now(), store: Store::default(), holders, queue: BTreeMap::new(),
+            sequence: 0, fence: Fence::default(), admitted: Vec::new(), rejected: 0, overlapping: 0,
+            acts: 0,
         };
         for step in &steps {
-            world.play(step);
+            world.run_step(step);
         }
-        world.run_to(world.now + 10_000);
-        prop_assert_eq!(world.overlapping, 0, "acts whose grant the service no longer held");
+        world.run_to(world.now_ms + 10_000);
+        prop_assert_eq!(world.overlapping, 0, "acts without a valid grant at the service");
         prop_assert!(world.admitted.windows(2).all(|w| w[0] <= w[1]), "admitted tokens only grow");
-        prop_assert_eq!(world.admitted.len() + world.fenced, world.acts, "every act admitted or fenced off");
+        prop_assert_eq!(world.admitted.len() + world.rejected, world.acts, "acts are admitted or rejected");
     }
 }
 
-/// The same model, with the holder's bound taken away (it acts up to the whole TTL after its last renewal
-/// by its own clock): slow clocks and late renewals then make acts that the service no longer backs.
+/// Shows why the holder's bound is needed: if a holder acted up to the whole TTL after its last renewal by its
+/// own clock, a slow clock would let it act after its grant has expired at the service.
 #[test]
 fn a_bound_of_the_whole_ttl_would_let_a_slow_clock_act_past_its_grant() {
     let mut store = Store::default();
@@ -228,14 +234,14 @@
         ttl_ms: TTL_MS,
         at_ms,
     };
-    // Sent at 0, it reached the service at 0; the holder's clock runs 2% slow.
+    // The request is sent at 0 and reaches the service at 0; the holder's clock runs 2% slow.
     let token =
         store.apply(&acquire("h0", 0)).map(|_| store.lease(NAME).map_or(0, |g| g.token)).expect("granted");
-    let base = Instant::now();
-    let lease = Lease::granted(NAME, token, ttl, base);
-    // At real 1,010 ms the service has let the grant run out, and another holder has it.
+    let start = Instant::now();
+    let lease = Lease::granted(NAME, token, ttl, start);
+    // At 1,010 ms of real time the grant has expired at the service, and another holder is granted the lease.
     store.apply(&acquire("h1", 1010)).expect("granted to the next holder");
-    let slow_local = base + Duration::from_secs_f64(1.010 * 0.98);
-    assert!(slow_local < base + ttl, "a bound of the whole TTL would still let the slow holder act");
-    assert!(!lease.may_act(slow_local), "the handle's bound does not");
+    let slow_local = start + Duration::from_secs_f64(1.010 * 0.98);
+    assert!(slow_local < start + ttl, "a bound of the whole TTL would still let the slow holder act");
+    assert!(!lease.may_act(slow_local), "the handle's bound does not let it act");
 }
--- a/tests/settings_documents.rs
+++ b/tests/settings_documents.rs
@@ -1,5 +1,5 @@
-//! The serialised forms of settings, sessions and membership, against the records in `tests/golden/settings/`: what
-//! proxies, operators and the replicated log exchange must read the same from build to build.
+//! Compares the serialized forms of settings, sessions and membership with the records in `tests/golden/settings/`: the
+//! data that proxies, operators and the replicated log exchange must not change from build to build.
 
 #[path = "golden/compare.rs"]
 mod compare;
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 
 /// A document with every key.
-fn full() -> Value {
+fn full_document() -> Value {
     json!({
         "classes": [
             {"name": "status-check", "effect": "free", "on-time": 2.5, "hard-limit": 6.0, "worth": 2.0},
@@ -39,8 +39,8 @@
     })
 }
 
-/// The smallest document: all that may be left out is.
-fn smallest() -> Value {
+/// The smallest document: all optional keys are omitted.
+fn minimal_document() -> Value {
     json!({
         "classes": [{"name": "c", "effect": "free", "on-time": 1.0, "hard-limit": 1.0}],
         "max-attempts": 1,
@@ -54,12 +54,12 @@
 }
 
 fn pretty(value: &impl Serialize) -> String {
-    serde_json::to_string_pretty(value).expect("it serialises") + "\n"
+    serde_json::to_string_pretty(value).expect("it serializes") + "\n"
 }
 
-/// Sets the value under a JSON pointer; `Null` removes it.
-fn changed(pointer: &str, new: Value) -> Value {
-    let mut value = full();
+/// The full document with `new` under a JSON pointer; `Null` removes the value.
+fn with_value(pointer: &str, new: Value) -> Value {
+    let mut value = full_document();
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
     let parent = value.pointer_mut(parent).expect(pointer);
     match (parent, new) {
@@ -78,15 +78,18 @@
 
 #[test]
 fn documents_are_written_with_their_recorded_keys() {
-    assert_golden("settings/document.json", &pretty(&parse(&full()).expect("good")));
-    assert_golden("settings/document_with_defaults.json", &pretty(&parse(&smallest()).expect("good")));
+    assert_golden("settings/document.json", &pretty(&parse(&full_document()).expect("valid")));
+    assert_golden(
+        "settings/document_with_defaults.json",
+        &pretty(&parse(&minimal_document()).expect("valid")),
+    );
 }
 
 #[test]
-fn a_document_that_is_wrong_is_refused_with_the_recorded_key_and_text() {
+fn an_invalid_document_is_rejected_with_the_recorded_key_and_text() {
     let mut out = String::new();
-    let twice = |pointer: &str| full().pointer(pointer).expect("there").clone();
-    let many =
+    let value_at = |pointer: &str| full_document().pointer(pointer).expect("a value").clone();
+    let tenants =
         |count: usize| (0..count).map(|n| json!({"name": format!("p{n}"), "quota-per-s": 1})).collect();
     let cases: Vec<(&str, Value)> = vec![
         ("/max-attempts", json!(1)),
@@ -101,9 +104,9 @@
         ("/shed", json!(1)),
         ("/atempts", json!(3)),
         ("/classes", json!([])),
-        ("/classes", Value::Array(vec![twice("/classes/0"); 65])),
+        ("/classes", Value::Array(vec![value_at("/classes/0"); 65])),
         ("/classes", Value::Null),
-        ("/classes/1", twice("/classes/0")),
+        ("/classes/1", value_at("/classes/0")),
         ("/classes/0/name", json!("")),
         ("/classes/0/name", json!("a\nb")),
         ("/classes/0/name", json!("x".repeat(129))),
@@ -123,10 +126,10 @@
         ("/classes/2/late-worth", json!(1.1)),
         ("/classes/2/worth", json!(-1)),
         ("/classes/2/worth", json!(2e9)),
-        ("/projects", many(513)),
+        ("/projects", tenants(513)),
         ("/projects/0/name", json!("")),
         ("/projects/0/name", json!("nobody")),
-        ("/projects/1", twice("/projects/0")),
+        ("/projects/1", value_at("/projects/0")),
         ("/projects/0/quota-per-s", json!(4.9)),
         ("/projects/0/quota-per-s", json!(2e9)),
         ("/projects/0/extra", json!(1)),
@@ -146,7 +149,7 @@
     ];
     for (pointer, new) in cases {
         let short: String = new.to_string().chars().take(40).collect();
-        let error = parse(&changed(pointer, new)).expect_err(pointer);
+        let error = parse(&with_value(pointer, new)).expect_err(pointer);
         writeln!(out, "{pointer} = {short}\n    [{}] {}", error.key, error.reason).expect("a string");
         assert_eq!(error.to_string(), format!("{}: {}", error.key, error.reason));
     }
@@ -160,34 +163,34 @@
 }
 
 #[test]
-fn changes_that_need_a_restart_are_refused_with_the_recorded_key_and_text() {
-    let base = parse(&full()).expect("good");
+fn changes_that_need_a_restart_are_rejected_with_the_recorded_key_and_text() {
+    let base = parse(&full_document()).expect("valid");
     let mut out = String::new();
-    let mut without_project = changed("/projects/1", Value::Null);
-    without_project["floor"]["projects"].as_object_mut().expect("a table").remove("quayside");
-    let mut without_class = changed("/classes/1", Value::Null);
+    let mut without_tenant = with_value("/projects/1", Value::Null);
+    without_tenant["floor"]["projects"].as_object_mut().expect("a table").remove("quayside");
+    let mut without_class = with_value("/classes/1", Value::Null);
     without_class["floor"]["classes"].as_object_mut().expect("a table").remove("send-sms");
     let cases = [
-        changed("/classes/0/effect", json!("single_shot")),
-        changed("/classes/2/group", json!("zone")),
-        changed("/classes/2/window", json!(11.0)),
-        changed("/classes/1/fifo-by-key", json!(false)),
-        changed("/floor/max-attempts", json!(1)),
-        without_project.clone(),
+        with_value("/classes/0/effect", json!("single_shot")),
+        with_value("/classes/2/group", json!("zone")),
+        with_value("/classes/2/window", json!(11.0)),
+        with_value("/classes/1/fifo-by-key", json!(false)),
+        with_value("/floor/max-attempts", json!(1)),
+        without_tenant.clone(),
         without_class.clone(),
     ];
     for case in &cases {
-        let error = parse(case).expect("good by itself").may_follow(&base).expect_err("restart");
+        let error = parse(case).expect("valid by itself").may_follow(&base).expect_err("restart");
         writeln!(out, "{error}").expect("a string");
     }
-    for case in [without_project, without_class] {
-        let error = base.may_follow(&parse(&case).expect("good")).expect_err("restart");
+    for case in [without_tenant, without_class] {
+        let error = base.may_follow(&parse(&case).expect("valid")).expect_err("restart");
         writeln!(out, "{error}").expect("a string");
     }
     assert_golden("settings/restart_errors.txt", &out);
-    let live = [("/max-attempts", json!(3)), ("/classes/0/worth", json!(1)), ("/shed", json!(true))];
-    for (pointer, new) in live {
-        assert_eq!(parse(&changed(pointer, new)).expect("good").may_follow(&base), Ok(()));
+    let allowed = [("/max-attempts", json!(3)), ("/classes/0/worth", json!(1)), ("/shed", json!(true))];
+    for (pointer, new) in allowed {
+        assert_eq!(parse(&with_value(pointer, new)).expect("valid").may_follow(&base), Ok(()));
     }
 }
 
@@ -196,11 +199,12 @@
     let sample: Value = serde_json::from_str(include_str!("../deploy/sample.json")).expect("JSON");
     let first = initial_document(&sample["settings"], None).expect("a document");
     assert_golden("settings/first_document.json", &pretty(&first));
-    let floor: FallbackSettings = serde_json::from_value(full()["floor"].clone()).expect("a floor");
-    let mut settings = json!({"classes": full()["classes"], "projects": full()["projects"],
+    let fallback: FallbackSettings =
+        serde_json::from_value(full_document()["floor"].clone()).expect("fallback settings");
+    let mut settings = json!({"classes": full_document()["classes"], "projects": full_document()["projects"],
                               "caps": {"retry-after": true, "max-retry-after": 2.0, "max-attempts": 4}});
-    let with_floor = initial_document(&settings, Some(floor.clone())).expect("a document");
-    assert_golden("settings/first_document_with_floor.json", &pretty(&with_floor));
+    let with_fallback = initial_document(&settings, Some(fallback.clone())).expect("a document");
+    assert_golden("settings/first_document_with_floor.json", &pretty(&with_fallback));
     let mut errors = String::new();
     for (pointer, new) in [
         ("/caps/retry-after", json!(false)),
@@ -209,11 +213,11 @@
         ("/classes", Value::Null),
     ] {
         *settings.pointer_mut(pointer).expect(pointer) = new;
-        for floor in [None, Some(floor.clone())] {
-            let made = initial_document(&settings, floor).map(|d| d.max_retry_after);
-            let told =
+        for fallback in [None, Some(fallback.clone())] {
+            let made = initial_document(&settings, fallback).map(|d| d.max_retry_after);
+            let text =
                 made.map_or_else(|e| e.to_string(), |seconds| format!("made, max-retry-after {seconds}"));
-            writeln!(errors, "{pointer}\n    {told}").expect("a string");
+            writeln!(errors, "{pointer}\n    {text}").expect("a string");
         }
     }
     let error = initial_document(&Value::Null, None).expect_err("no settings");
@@ -222,30 +226,31 @@
 }
 
 #[test]
-fn differences_are_told_by_the_recorded_keys() {
-    let from = parse(&full()).expect("good");
-    let mut to = changed("/classes/1", Value::Null);
+fn differences_are_listed_by_the_recorded_keys() {
+    let from = parse(&full_document()).expect("valid");
+    let mut to = with_value("/classes/1", Value::Null);
     to["floor"]["classes"].as_object_mut().expect("a table").remove("send-sms");
     to["max-attempts"] = json!(4);
     to["classes"][1]["worth"] = json!(9);
-    let to = parse(&to).expect("good");
+    let to = parse(&to).expect("valid");
     assert_golden("settings/differences.json", &pretty(&differences(&from, &to)));
     assert!(differences(&from, &from).is_empty());
 }
 
 #[test]
-fn what_is_agreed_is_written_and_read_as_recorded() {
-    let document = Arc::new(parse(&smallest()).expect("good"));
+fn agreements_are_written_and_read_as_recorded() {
+    let document = Arc::new(parse(&minimal_document()).expect("valid"));
     let members = Members { revision: 7, slots: vec![0, 1, 2, 5, 7, 8] };
-    let bare = AgreementView { revision: 1, members: MembersView::default(), committed: None, offered: None };
-    let all = AgreementView {
+    let empty =
+        AgreementView { revision: 1, members: MembersView::default(), committed: None, offered: None };
+    let full = AgreementView {
         revision: 9,
         members: MembersView::from(&members),
         committed: Some(SettingsView { version: 4, document: None }),
         offered: Some(SettingsView { version: 8, document: Some(document) }),
     };
-    for (name, agreed) in [("settings/agreed_at_first.json", bare), ("settings/agreed.json", all)] {
-        let text = pretty(&agreed);
+    for (name, view) in [("settings/agreed_at_first.json", empty), ("settings/agreed.json", full)] {
+        let text = pretty(&view);
         assert_golden(name, &text);
         let read: AgreementView = serde_json::from_str(&text).expect("it reads");
         assert_eq!(pretty(&read), text);
@@ -262,7 +267,7 @@
         Command::Refuse { session: None, name: "p".into(), version: 8, reason: "a: b".into() },
         Command::Publish {
             parent: 4,
-            document: Arc::new(parse(&smallest()).expect("good")),
+            document: Arc::new(parse(&minimal_document()).expect("valid")),
             by: "ops".into(),
             note: "a note".into(),
             unix_ms: 1_700_000_000_000,
@@ -278,7 +283,7 @@
     let logged: Vec<store::Command> =
         commands().into_iter().map(|change| store::Command::Agree { change, at_ms: 12 }).collect();
     assert_golden("settings/logged_commands.json", &pretty(&logged));
-    // What a renewal may leave out, and what it may not hold.
+    // A renewal may omit most fields, but must not have unknown ones.
     let short: Renewal = serde_json::from_str(r#"{"session": 3}"#).expect("it reads");
     assert_eq!(short, Renewal { session: 3, ..Renewal::default() });
     let error = serde_json::from_str::<Renewal>(r#"{"session": 3, "in_force": 4}"#).expect_err("unknown");
@@ -286,7 +291,7 @@
 }
 
 #[test]
-fn outcomes_and_errors_are_stored_and_told_as_recorded() {
+fn outcomes_and_errors_are_stored_and_displayed_as_recorded() {
     let required = RequiredRevisions { agreed: 9, list: 6 };
     let outcomes = vec![
         CommandOutcome::Opened { session: 5, slot: 2, required },
@@ -310,23 +315,25 @@
     let text = pretty(&errors);
     assert_golden("settings/errors.json", &text);
     assert_eq!(serde_json::from_str::<Vec<AgreementError>>(&text).expect("they read"), errors);
-    let told: String = errors.iter().map(|e| format!("{e}\n")).collect();
-    assert_golden("settings/errors.txt", &told);
+    let messages: String = errors.iter().map(|e| format!("{e}\n")).collect();
+    assert_golden("settings/errors.txt", &messages);
 }
 
-/// A state with a version of each status, sessions that live and ended ones; what each command came to.
+/// Makes a state with a version of each status, and with live and ended sessions; returns it with the outcome of each
+/// command.
 fn scenario() -> (Agreement, String) {
     let (mut agreement, mut revision, mut out) = (Agreement::default(), 1, String::new());
     let mut apply = |agreement: &mut Agreement, at_ms: u64, command: Command| {
-        let done = agreement.apply(&command, at_ms, 3, &mut revision);
-        let done = done.map_or_else(|e| format!("error: {e}"), |o| serde_json::to_string(&o).expect("JSON"));
-        writeln!(out, "{at_ms} ms, revision {revision}: {done}").expect("a string");
+        let outcome = agreement.apply(&command, at_ms, 3, &mut revision);
+        let outcome =
+            outcome.map_or_else(|e| format!("error: {e}"), |o| serde_json::to_string(&o).expect("JSON"));
+        writeln!(out, "{at_ms} ms, revision {revision}: {outcome}").expect("a string");
     };
     let open = |name: &str, acknowledged| Command::Open { name: name.into(), ttl_ms: 1_000, acknowledged };
     let publish = |parent, worth: f64| {
-        let mut document = full();
+        let mut document = full_document();
         document["classes"][0]["worth"] = json!(worth);
-        let document = Arc::new(parse(&document).expect("good"));
+        let document = Arc::new(parse(&document).expect("valid"));
         Command::Publish { parent, document, by: "ops".into(), note: format!("worth {worth}"), unix_ms: 77 }
     };
     let renew = |session, acknowledged| {
@@ -378,7 +385,7 @@
     let read: Agreement = serde_json::from_str(&text).expect("it reads");
     assert_eq!(read, agreement);
     assert_golden("settings/empty_state.json", &pretty(&Agreement::default()));
-    // A snapshot from before sessions ran out by command alone.
+    // A snapshot from before sessions expired only by command.
     let mut old = serde_json::to_value(Agreement::default()).expect("JSON");
     old.as_object_mut().expect("a table").remove("lapse_by_command");
     assert_eq!(serde_json::from_value::<Agreement>(old).expect("it reads"), Agreement::default());
