--- a/tests/agreement_model.rs
+++ b/tests/agreement_model.rs
@@ -410,7 +410,7 @@
                 session_state.granted(number, session, slot, required);
             }
             Call::Renewed { session, sent_ms, required } => {
-                session_state.renewed(session, instant_at(sent_ms), required)
+                session_state.renewed(session, instant_at(sent_ms), required);
             }
             Call::Lost { session, .. } => session_state.lost(session),
             _ => {}
