--- a/src/registry/api/bodies.rs
+++ b/src/registry/api/bodies.rs
@@ -1,10 +1,10 @@
-//! Bodies of calls under the names that the API has for them: serde puts a type's name into its error texts, which
-//! callers get, so the names here stay. The modules of the calls import them under names that say what they are.
+//! Bodies of calls whose type names are part of the API: serde puts a type's name into its error texts, which callers
+//! receive. The modules that use these types import them under more descriptive names.
 
 use crate::registry::raft::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// A call for one listed instance.
+/// The body of a call for one listed instance.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub(super) struct Named {
@@ -13,17 +13,17 @@
     pub(super) weight: Option<f64>,
 }
 
-/// A call about one node of the cluster.
+/// The body of a call about one node of the cluster.
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Numbered {
     pub(super) node: NodeId,
-    /// Of the node's log, where it joins.
+    /// The incarnation of the node's log; needed in a call to join.
     #[serde(default)]
     pub(super) incarnation: Option<u64>,
 }
 
-/// A proxy cannot apply a settings version.
+/// The body of the call by which a proxy reports that it cannot apply a settings version.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Refuse {
--- a/src/registry/api/cluster.rs
+++ b/src/registry/api/cluster.rs
@@ -1,8 +1,8 @@
-//! Calls about the cluster itself: its members, the calls of other nodes, and the state of this one.
+//! Calls about the cluster itself: its members, the Raft calls of other nodes, and the state of this node.
 //!
-//! - `POST /v1/cluster/forget {"node"}` removes a node whose disk is lost from the members; it comes back with an empty
-//!   directory and `join = true`. `POST /v1/cluster/join` is a node's own call.
-//! - `GET /v1/status` answers the node's number, leader, members, revision and age.
+//! - `POST /v1/cluster/forget {"node"}` removes a node whose disk is lost from the members; the node rejoins when it is
+//!   started with an empty directory and `join = true`. `POST /v1/cluster/join` is called by the joining node itself.
+//! - `GET /v1/status` answers with the node's number, leader, members, revision and age.
 //! - `/raft/…` is for other nodes ([`crate::registry::raft::network`]).
 
 use super::bodies::Numbered as MemberCall;
@@ -20,12 +20,12 @@
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// The calls about members start with it.
-pub(super) const PREFIX: &str = "/v1/cluster/";
-/// The path of a node's own call to join.
-pub(super) const JOIN: &str = "/v1/cluster/join";
-/// The calls of other nodes' Raft start with it.
-pub(super) const RAFT_PREFIX: &str = "/raft/";
+/// Path prefix of the calls about members.
+pub(super) const PATH_PREFIX: &str = "/v1/cluster/";
+/// The path of the call by which a node joins.
+pub(super) const JOIN_PATH: &str = "/v1/cluster/join";
+/// Path prefix of the Raft calls of other nodes.
+pub(super) const RAFT_PATH_PREFIX: &str = "/raft/";
 
 #[derive(Serialize)]
 struct StatusReply {
@@ -39,14 +39,14 @@
     expired: u64,
 }
 
-/// Reads the call whose path is [`PREFIX`] and `call`.
+/// Parses the body of the call whose path is [`PATH_PREFIX`] followed by `call`.
 pub(super) fn command(call: &str, body: &[u8]) -> Result<Command, RequestError> {
     let MemberCall { node, incarnation } = serde_json::from_slice(body)?;
     match (call, incarnation) {
         ("join", Some(incarnation)) => Ok(Command::Join { node, incarnation }),
         ("join", None) => Err(RequestError::MissingField("incarnation")),
         ("forget", _) => Ok(Command::Forget { node }),
-        _ => Err(RequestError::UnknownCall(format!("{PREFIX}{call}"))),
+        _ => Err(RequestError::UnknownCall(format!("{PATH_PREFIX}{call}"))),
     }
 }
 
@@ -69,13 +69,13 @@
     })
 }
 
-/// Answers by which log a node takes part, and whether this one holds a cluster.
-pub(super) fn joined(state: &ApiState, query: &str) -> Result<Reply, RequestError> {
+/// Answers with the incarnation of the log by which a node takes part, and whether this node's log holds a cluster.
+pub(super) fn join_status(state: &ApiState, query: &str) -> Result<Reply, RequestError> {
     let node = query::number(query, "node")?.unwrap_or(0);
     Ok(reply::ok(&state.node.join_status(node)))
 }
 
-/// Answers another node's Raft; `call` is the path without [`RAFT_PREFIX`].
+/// Answers a Raft call of another node; `call` is the path without [`RAFT_PATH_PREFIX`].
 pub(super) async fn raft(
     state: &ApiState,
     call: &str,
@@ -89,7 +89,7 @@
     }
     let answer = network::handle_call(raft, state.node.durable_log(), call, &body).await.map_err(
         |error| match error {
-            CallError::Status(_) => RequestError::UnknownCall(format!("{RAFT_PREFIX}{call}")),
+            CallError::Status(_) => RequestError::UnknownCall(format!("{RAFT_PATH_PREFIX}{call}")),
             error => RequestError::RaftCall(error),
         },
     )?;
--- a/src/registry/api/endpoints.rs
+++ b/src/registry/api/endpoints.rs
@@ -1,10 +1,10 @@
 //! Calls for the endpoint list: the list and its watch for proxies, and the writes of backends and operators.
 //!
-//! - `GET /api/targets` answers the complete list. With `since=N&timeout_ms=T` it waits up to T ms (at most 60,000) for
-//!   a change after revision N. A watch that ends without a change gets the revision with no entries; one from a
-//!   revision ahead of this node gets 503 then, never an older revision.
-//! - `POST /v1/register` takes an instance as the list has it, plus `ttlMs`.
-//! - `POST /v1/deregister` and `/v1/drain` take `{"instanceId"}`, `/v1/weight` `{"instanceId","weight"}`.
+//! - `GET /api/targets` answers with the complete list. With `since=N&timeout_ms=T` it waits up to T ms (at most
+//!   60,000) for a change after revision N. A watch that ends without a change gets the revision with no entries; if N
+//!   is ahead of this node's revision, it gets 503 instead, never an older revision.
+//! - `POST /v1/register` takes an instance in the form that it has in the list, plus `ttlMs`.
+//! - `POST /v1/deregister` and `/v1/drain` take `{"instanceId"}`, and `/v1/weight` takes `{"instanceId","weight"}`.
 
 use super::bodies::Named as InstanceCall;
 use super::error::RequestError;
@@ -34,13 +34,13 @@
     instances: &'a [Instance],
 }
 
-/// Reads a registration.
+/// Parses a registration.
 pub(super) fn registration(body: &[u8]) -> Result<Command, RequestError> {
     let Registration { instance, ttl_ms } = serde_json::from_slice(body)?;
     Ok(Command::Register { instance, ttl_ms, at_ms: 0 })
 }
 
-/// Reads a call for one listed instance.
+/// Parses a call for one listed instance.
 pub(super) fn instance_command(path: &str, body: &[u8]) -> Result<Command, RequestError> {
     let InstanceCall { instance_id, weight } = serde_json::from_slice(body)?;
     match (path, weight) {
@@ -72,7 +72,7 @@
     Ok(reply::json(StatusCode::OK, event_body(&WatchEvent::empty(revision))))
 }
 
-/// The changes since a revision.
+/// The JSON of the changes since a revision.
 fn changes_body(state: &ApiState, since: u64) -> Bytes {
     let store = state.node.store();
     let revision = store.revision();
@@ -80,7 +80,7 @@
         let event = store.changes_since(since).unwrap_or_else(|| WatchEvent::empty(revision));
         Ok::<_, Infallible>(event_body(&event))
     };
-    match state.list_event.get_or_make((since, revision), make) {
+    match state.list_event_body.get_or_make((since, revision), make) {
         Ok(body) => body,
     }
 }
--- a/src/registry/api/error.rs
+++ b/src/registry/api/error.rs
@@ -1,7 +1,7 @@
-//! Why a call is not answered 200: the status, the text and the details that the caller gets.
+//! The errors of the API: the status, the text and the details of each reply other than 200.
 //!
-//! The texts and details are part of the API. A 503 has a `Retry-After` where the caller is to come back to this node;
-//! `outcome` tells whether a write that was not acknowledged may have been applied, or may yet be.
+//! The texts and details are part of the API. A 503 has a `Retry-After` where the caller should retry at this node;
+//! `outcome` states whether a write that was not acknowledged may have been applied, or may still be.
 
 use super::reply::{self, Reply};
 use super::settings_view::VersionView;
@@ -22,7 +22,7 @@
 pub(super) enum WriteOutcome {
     /// It was not applied and will not be.
     None,
-    /// It may have been applied, or may yet be.
+    /// It may have been applied, or may still be.
     Unknown,
 }
 
@@ -32,7 +32,7 @@
     /// No call has this path.
     #[error("no such call: {0}")]
     UnknownCall(String),
-    /// The body is not the JSON that the call takes.
+    /// The body is not the JSON that the call expects.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The body lacks a field that this call needs.
@@ -44,12 +44,12 @@
     /// A query parameter that is not a number.
     #[error("{name} is not a whole number: {value}")]
     Parameter {
-        /// Its name.
+        /// The parameter's name.
         name: &'static str,
-        /// Its text.
+        /// The parameter's text.
         value: String,
     },
-    /// More renewals than one call may have.
+    /// The call has more renewals than one call may have.
     #[error("at most {0} renewals in one call")]
     TooManyRenewals(usize),
     /// The settings document is not valid.
@@ -61,19 +61,19 @@
     /// The request to another node could not be made.
     #[error(transparent)]
     Http(#[from] hyper::http::Error),
-    /// The body is longer than this text says.
+    /// The body is longer than this limit.
     #[error("a body of at most {0}")]
     BodyTooLarge(&'static str),
     /// The command is longer than a record of the log may be.
     #[error("a write of at most 60 KiB")]
     WriteTooLarge,
-    /// The settings have no such version, or not any more.
+    /// The settings version does not exist, or is no longer known.
     #[error("version {0} is not known (any more)")]
     UnknownVersion(u64),
     /// The store rejected the command; nothing changed.
     #[error(transparent)]
     Rejected(#[from] StoreError),
-    /// A publication whose parent is not the head.
+    /// The parent of a publication is not the head.
     #[error("{error}")]
     Conflict {
         /// The store's rejection.
@@ -82,25 +82,25 @@
         /// The head with its document, if there is one.
         head: Option<Box<VersionView>>,
     },
-    /// A session is not renewed any more, for this reason.
+    /// A session is no longer renewed, for this reason.
     #[error("{0}")]
     SessionLost(String),
-    /// A call that another node forwarded here, which does not lead.
+    /// Another node forwarded the call to this one, which does not lead.
     #[error("this node does not lead")]
     NotLeader,
-    /// No leader was found in time to write to.
+    /// No leader was found in time for a write.
     #[error("no leader to write to")]
     NoLeaderForWrite,
-    /// No leader was found in time to renew at.
+    /// No leader was found in time for renewals.
     #[error("no leader to renew at")]
     NoLeaderForRenewal,
-    /// As many writes as may wait do.
+    /// The limit of waiting writes is reached.
     #[error("too many writes")]
     TooManyWrites,
-    /// As many watches as may wait do.
+    /// The limit of waiting watches is reached.
     #[error("too many watches")]
     TooManyWatches,
-    /// Renewals could not be taken here; none was.
+    /// Renewals could not be accepted here; nothing was renewed.
     #[error(transparent)]
     RenewalFailed(ProposeError),
     /// A write was not acknowledged, but may have been applied.
@@ -115,7 +115,7 @@
         #[source]
         error: CallError,
     },
-    /// Renewals were to be forwarded to the leader and may not have been taken, for this reason.
+    /// It is unknown whether the leader accepted renewals that were to be forwarded to it, for this reason.
     #[error("{0}")]
     RenewalForwardFailed(String),
     /// A watch of the list since a revision that this node has not reached.
@@ -123,18 +123,18 @@
     ListBehind {
         /// This node's revision.
         at: u64,
-        /// The watcher's.
+        /// The watcher's revision.
         since: u64,
     },
     /// A watch of the agreement since a revision that this node has not reached.
     #[error("this node is at {at}, behind {since}")]
     AgreementBehind {
-        /// The revision of the agreement's latest change here.
+        /// The revision of the agreement's latest change on this node.
         at: u64,
-        /// The watcher's.
+        /// The watcher's revision.
         since: u64,
     },
-    /// The node has failed and answers nothing more.
+    /// The node has failed and answers every call with this error.
     #[error("this node has failed: {0}")]
     NodeFailed(String),
     /// The node does not take part in the cluster yet.
@@ -155,15 +155,15 @@
     detail: Option<Detail<'a>>,
 }
 
-/// What a caller needs to make its call again.
+/// What the caller needs for making its call again.
 #[derive(Serialize)]
 #[serde(rename_all = "lowercase")]
 enum Detail<'a> {
-    /// The settings version that it has to hold first.
+    /// The settings version that the caller has to hold first.
     Hold(u64),
     /// The key of the settings document that is wrong.
     Key(&'a str),
-    /// The head to publish on; null before any.
+    /// The head to publish on; null before the first version.
     Head(Option<&'a VersionView>),
 }
 
@@ -226,13 +226,13 @@
         }
     }
 
-    /// Whether a 503 asks the caller to come back to this node.
-    fn asks_to_retry(&self) -> bool {
-        let elsewhere = matches!(
+    /// Whether the reply is a 503 with `Retry-After`: the caller should retry at this node.
+    fn has_retry_after(&self) -> bool {
+        let retry_elsewhere = matches!(
             self,
             Self::ListBehind { .. } | Self::NodeFailed(_) | Self::NotAdmitted | Self::MayNotVote
         );
-        self.status() == StatusCode::SERVICE_UNAVAILABLE && !elsewhere
+        self.status() == StatusCode::SERVICE_UNAVAILABLE && !retry_elsewhere
     }
 }
 
@@ -257,7 +257,7 @@
     fn from(error: RequestError) -> Self {
         let body = ErrorBody { error: error.to_string(), outcome: error.outcome(), detail: error.detail() };
         let mut reply = reply::json(error.status(), reply::sorted_json(&body));
-        if error.asks_to_retry() {
+        if error.has_retry_after() {
             reply.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
         }
         reply
--- a/src/registry/api/fleet.rs
+++ b/src/registry/api/fleet.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/fleet`: every session and those that ended, as the node that leads knows them.
+//! `GET /v1/fleet`: the sessions, and those that have ended, as the leader knows them.
 
 use super::error::RequestError;
 use super::forward;
@@ -12,7 +12,7 @@
 use hyper::{Method, StatusCode};
 use serde::Serialize;
 
-const PATH: &str = "/v1/fleet";
+const FLEET_PATH: &str = "/v1/fleet";
 
 #[derive(Serialize)]
 struct FleetReply<'a> {
@@ -35,7 +35,7 @@
     ttl_ms: u64,
     #[serde(rename = "said")]
     last_renewal: Renewal,
-    /// Milliseconds until it expires unless renewed, where this node takes renewals.
+    /// Milliseconds until the session expires unless renewed; none where this node does not accept renewals.
     left_ms: Option<u64>,
 }
 
@@ -52,22 +52,22 @@
     ago_ms: u64,
 }
 
-/// Answers with the state of the fleet, read from the leader, which alone takes renewals, and as known here where that
-/// is not reached or another node has `forwarded` the call.
+/// Answers with the state of the fleet as the leader knows it, since only the leader accepts renewals. Where the leader
+/// is not reached or another node has `forwarded` the call, answers with the state that this node knows.
 pub(super) async fn fleet(state: &ApiState, forwarded: bool) -> Result<Reply, RequestError> {
     let leader = state.node.leader().filter(|leader| *leader != state.node.id() && !forwarded);
     if let Some(leader) = leader {
-        let request = forward::request(Method::GET, PATH, Bytes::new())?;
+        let request = forward::request(Method::GET, FLEET_PATH, Bytes::new())?;
         if let Ok(answer) = state.node.forward(leader, request, state.write_timeout).await
             && answer.status() == StatusCode::OK
         {
             return Ok(answer.map(Full::new));
         }
     }
-    Ok(as_known_here(state))
+    Ok(local_reply(state))
 }
 
-fn as_known_here(state: &ApiState) -> Reply {
+fn local_reply(state: &ApiState) -> Reply {
     let now_ms = state.node.log_time();
     let store = state.node.store();
     let agreement = store.agreement();
--- a/src/registry/api/mod.rs
+++ b/src/registry/api/mod.rs
@@ -1,13 +1,14 @@
-//! The list service's HTTP/1.1 API: the calls by path, and a module for each group of them.
+//! The list service's HTTP/1.1 API: dispatch of the calls by path, and a module for each group of calls.
 //!
 //! - `endpoints`, `leases`, `sessions`, `settings`, `renewals`, `fleet` and `cluster` each describe their calls.
-//! - `writes` commits what is written to the log, and `forward` sends calls on to the leader.
-//! - `error` and `reply` are what every call is answered with.
+//! - `writes` commits writes to the log, and `forward` forwards calls to the leader.
+//! - `error` and `reply` build the answers to all calls.
 //!
-//! A write is answered `{"revision":N}` once it is committed on a quorum and durable there, or rejected with
-//! `{"error":"…"}` and nothing changed. Reads and watches of the list and the agreement are answered by every node from
-//! its own store, by one that is cut off from the others too: `X-List-Age-Ms` says with each answer how long ago the
-//! node was last in contact with the leader or, leading, with a quorum. The port is for the fleet's own network.
+//! A write is answered `{"revision":N}` once it is committed on a quorum and durable there; a rejected write is
+//! answered `{"error":"…"}` and changes nothing. Every node answers reads and watches of the list and the agreement
+//! from its own store, even while it is cut off from the others: `X-List-Age-Ms` in each answer is the time since the
+//! node last had contact with the leader or, on the leader, with a quorum. The port is meant for the fleet's own
+//! network.
 
 mod bodies;
 mod cluster;
@@ -39,32 +40,32 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest body of a call.
+/// Maximum size of the body of a call.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// The header that says how old an answer may be, in milliseconds.
-const AGE: &str = "x-list-age-ms";
+/// The header with the age of the node's state, in milliseconds ([`Node::staleness`]).
+const AGE_HEADER: &str = "x-list-age-ms";
 
-/// The calls of one node.
+/// The API of one node.
 #[derive(Clone)]
 pub struct Api {
     state: Rc<ApiState>,
 }
 
 impl Api {
-    /// An API over `node` that lets at most `max_watchers` watches wait at once (more are rejected with 503), and
-    /// answers a write 503 after `write_timeout`.
+    /// Creates the API of `node`: at most `max_watchers` watches wait at once (more are rejected with 503), and a write
+    /// that takes longer than `write_timeout` is answered 503.
     pub fn new(node: Rc<Node>, max_watchers: usize, write_timeout: Duration) -> Self {
         Self { state: Rc::new(ApiState::new(node, max_watchers, write_timeout)) }
     }
 
-    /// Answers one request.
+    /// Answers one call.
     pub async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        if let Some(why) = self.state.node.failure() {
-            return RequestError::NodeFailed(why).into();
+        if let Some(reason) = self.state.node.failure() {
+            return RequestError::NodeFailed(reason).into();
         }
         let path = request.uri().path().to_string();
         if request.method() == Method::POST
-            && let Some(call) = path.strip_prefix(cluster::RAFT_PREFIX)
+            && let Some(call) = path.strip_prefix(cluster::RAFT_PATH_PREFIX)
         {
             return cluster::raft(&self.state, call, request).await.unwrap_or_else(Reply::from);
         }
@@ -74,7 +75,9 @@
             _ => Err(RequestError::UnknownCall(path)),
         }
         .unwrap_or_else(Reply::from);
-        reply.headers_mut().insert(AGE, HeaderValue::from(self.state.node.staleness().as_millis() as u64));
+        reply
+            .headers_mut()
+            .insert(AGE_HEADER, HeaderValue::from(self.state.node.staleness().as_millis() as u64));
         reply
     }
 
@@ -89,7 +92,7 @@
             "/v1/fleet" => fleet::fleet(state, forward::is_forwarded(request.headers())).await,
             "/v1/status" => Ok(cluster::status(state)),
             "/-/ready" => Ok(reply::json(StatusCode::OK, "{}")),
-            "/raft/joined" => cluster::joined(state, query),
+            "/raft/joined" => cluster::join_status(state, query),
             _ => Err(RequestError::UnknownCall(path.to_string())),
         }
     }
@@ -104,10 +107,10 @@
         }
     }
 
-    /// Has the node's own command to join done by whichever node leads.
+    /// Submits this node's command to join to whichever node leads.
     ///
     /// # Errors
-    /// `Joined` where the cluster rejects this node's log; `Unknown` with the reason where it is not done yet.
+    /// `Joined` where the cluster rejects this node's log; `Unknown` with the reason where it is not acknowledged yet.
     pub async fn submit_join(&self, command: Command) -> Result<(), StoreError> {
         join::submit(&self.state, command).await
     }
--- a/src/registry/api/query.rs
+++ b/src/registry/api/query.rs
@@ -1,17 +1,17 @@
-//! Parameters of a call's query, and what watches have in common.
+//! Query parameters of calls, and the parameters that all watches share.
 
 use super::error::RequestError;
 use std::time::Duration;
 
-/// The longest wait of a watch, in milliseconds.
+/// Maximum wait of a watch, in milliseconds.
 const MAX_WATCH_WAIT_MS: u64 = 60_000;
 
-/// A query parameter, if it is there.
+/// A query parameter, if it is present.
 pub(super) fn text<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// A query parameter as a number, if it is there.
+/// A query parameter as a number, if it is present.
 ///
 /// # Errors
 /// `Parameter` where it is not a whole number.
@@ -21,9 +21,9 @@
     value.parse().map(Some).map_err(invalid)
 }
 
-/// From which revision on a watch waits for a change, and for how long.
+/// The parameters of a watch: the revision after which it waits for a change, and how long it waits.
 pub(super) struct Watch {
-    /// The revision that the watcher has; none for a read, which does not wait.
+    /// The revision that the watcher has; `None` for a read, which does not wait.
     pub(super) since: Option<u64>,
     pub(super) max_wait: Duration,
 }
--- a/src/registry/api/renewals.rs
+++ b/src/registry/api/renewals.rs
@@ -1,15 +1,15 @@
-//! Renewals: whatever one machine keeps alive (backends, grants of leases, sessions) in one call, answered from the
-//! leader's memory ([`crate::registry::liveness`]).
+//! Renewals: one call renews everything that one machine keeps alive (backends, grants of leases, sessions). It is
+//! answered from the leader's memory ([`crate::registry::liveness`]).
 //!
 //! `POST /v1/keepalive {"instances":["…"],"grants":[{"name","token"}],"sessions":[…]}` is answered
-//! `{"revision","agreed","list","lost":{…}}`, where `lost` names what was not renewed: backends to register again, grants
-//! and sessions that are void. `/v1/heartbeat`, `/v1/lease/keepalive` and `/v1/session/renew` renew one kind, and are
-//! answered with an error where something is lost.
+//! `{"revision","agreed","list","lost":{…}}`, where `lost` lists what was not renewed: backends to register again, and
+//! grants and sessions that are no longer valid. `/v1/heartbeat`, `/v1/lease/keepalive` and `/v1/session/renew` renew
+//! one kind each, and are answered with an error where something is lost.
 //!
-//! Nothing of it is written to the log but the acknowledgement of an offered settings version.
+//! Of all this only the acknowledgement of an offered settings version is written to the log.
 
 use super::error::RequestError;
-use super::forward::{ForwardError, KEEPALIVE, MAX_RENEWALS};
+use super::forward::{ForwardError, KEEPALIVE_PATH, MAX_RENEWALS};
 use super::reply::{self, Reply};
 use super::state::ApiState;
 use crate::agreement::state::{Command as Change, Renewal};
@@ -32,7 +32,7 @@
     renewals: Vec<Renewal>,
 }
 
-/// The text that `expecting` gives is an error text of the API.
+/// The text of `expecting` is an error text of the API.
 #[derive(Deserialize)]
 #[serde(untagged, expecting = "data did not match any variant of untagged enum SessionRenewals")]
 enum SessionCall {
@@ -40,10 +40,10 @@
     One(Renewal),
 }
 
-/// A call for renewals.
+/// A renewal call.
 pub(super) struct RenewalCall {
     renewals: Renewals,
-    /// Whether the reply names what is lost; else that is an error.
+    /// Whether the reply lists what is lost; otherwise a loss is answered with an error.
     reports_lost: bool,
 }
 
@@ -56,16 +56,16 @@
     lost: Option<&'a Lost>,
 }
 
-/// Reads a call for renewals; none where the path is another call's.
+/// Parses a renewal call; `None` where the path is that of another call.
 pub(super) fn parse(path: &str, body: &[u8]) -> Option<Result<RenewalCall, RequestError>> {
     let renewals = match path {
-        KEEPALIVE => parse_keepalive(body),
+        KEEPALIVE_PATH => parse_keepalive(body),
         "/v1/heartbeat" => parse_heartbeat(body),
         "/v1/lease/keepalive" => parse_grant(body),
         "/v1/session/renew" => parse_sessions(body),
         _ => return None,
     };
-    Some(renewals.map(|renewals| RenewalCall { renewals, reports_lost: path == KEEPALIVE }))
+    Some(renewals.map(|renewals| RenewalCall { renewals, reports_lost: path == KEEPALIVE_PATH }))
 }
 
 fn parse_keepalive(body: &[u8]) -> Result<Renewals, RequestError> {
@@ -94,7 +94,7 @@
     Ok(Renewals { sessions, ..Renewals::default() })
 }
 
-/// Renews what a call names, here where this node leads, else at the node that does. A call that another node has
+/// Renews what a call names, on this node where it leads, otherwise at the leader. A call that another node has
 /// `forwarded` is not forwarded again.
 pub(super) async fn renew(
     state: &ApiState,
@@ -118,17 +118,17 @@
         if leader.is_some() {
             match state.forward_queue.forward(call.renewals.clone()).await {
                 Ok(renewed) => {
-                    return renewal_reply(&call, &renewed, &own_losses(&call.renewals, &renewed.lost));
+                    return renewal_reply(&call, &renewed, &lost_of_call(&call.renewals, &renewed.lost));
                 }
-                Err(ForwardError::NotTaken) => {}
-                Err(ForwardError::Unknown(why)) => return Err(RequestError::RenewalForwardFailed(why)),
+                Err(ForwardError::NotApplied) => {}
+                Err(ForwardError::Unknown(reason)) => return Err(RequestError::RenewalForwardFailed(reason)),
             }
         }
         state.node.wait_for_raft_change().await;
     }
 }
 
-/// Writes the acknowledgements of settings versions that came with renewals, and answers the call.
+/// Commits the acknowledgements of settings versions that came with renewals, and answers the call.
 async fn acknowledge(
     state: &ApiState,
     call: &RenewalCall,
@@ -151,17 +151,17 @@
     renewal_reply(call, &renewed, &renewed.lost)
 }
 
-/// The part of a batch's losses that one of its calls named.
-fn own_losses(named: &Renewals, lost: &Lost) -> Lost {
-    let sessions: BTreeSet<u64> = named.sessions.iter().map(|renewal| renewal.session).collect();
+/// The part of a batch's losses that concerns the `renewals` of one of its calls.
+fn lost_of_call(renewals: &Renewals, lost: &Lost) -> Lost {
+    let sessions: BTreeSet<u64> = renewals.sessions.iter().map(|renewal| renewal.session).collect();
     Lost {
-        instances: lost.instances.iter().filter(|id| named.instances.contains(id)).cloned().collect(),
-        grants: lost.grants.iter().filter(|grant| named.grants.contains(grant)).cloned().collect(),
+        instances: lost.instances.iter().filter(|id| renewals.instances.contains(id)).cloned().collect(),
+        grants: lost.grants.iter().filter(|grant| renewals.grants.contains(grant)).cloned().collect(),
         sessions: lost
             .sessions
             .iter()
             .filter(|(id, _)| sessions.contains(id))
-            .map(|(id, why)| (*id, why.clone()))
+            .map(|(id, reason)| (*id, reason.clone()))
             .collect(),
     }
 }
@@ -186,7 +186,7 @@
         return Err(StoreError::Lost(grant.name.clone()).into());
     }
     match lost.sessions.values().next() {
-        Some(why) => Err(RequestError::SessionLost(why.clone())),
+        Some(reason) => Err(RequestError::SessionLost(reason.clone())),
         None => Ok(()),
     }
 }
--- a/src/registry/api/sessions.rs
+++ b/src/registry/api/sessions.rs
@@ -1,11 +1,12 @@
-//! Calls for sessions of proxies and for the settings, as far as they are written to the log.
+//! The calls for sessions of proxies and for the settings that are written to the log.
 //!
-//! - `POST /v1/session/open {"name","ttlMs","holds"}` is answered `{"revision","session","slot","agreed","list"}`, or 409
-//!   with `"hold":V` where version V has to be held first.
+//! - `POST /v1/session/open {"name","ttlMs","holds"}` is answered `{"revision","session","slot","agreed","list"}`, or
+//!   409 with `"hold":V` where the proxy has to hold version V first.
 //! - `POST /v1/session/close {"session"}` ends a session; `POST /v1/session/refuse {"session"?,"name","version","why"}`
-//!   says that a proxy cannot apply a version.
-//! - `POST /v1/settings {"parent","by","note"?,"document"}` publishes a version: `{"revision","version"}`, 400 with the
-//!   `"key"` that is wrong, or 409 with the `"head"` where the parent is not the head.
+//!   reports that a proxy cannot apply a version.
+//! - `POST /v1/settings {"parent","by","note"?,"document"}` publishes a version. It is answered
+//!   `{"revision","version"}`, 400 with the `"key"` that is wrong, or 409 with the `"head"` where the parent is not the
+//!   head.
 //! - `POST /v1/session/renew` is a renewal ([`super::renewals`]).
 
 use super::bodies::Refuse as RejectVersion;
@@ -16,10 +17,10 @@
 use serde_json::value::RawValue;
 use std::sync::Arc;
 
-/// The calls for sessions start with it.
-pub(super) const PREFIX: &str = "/v1/session/";
+/// Path prefix of the calls for sessions.
+pub(super) const PATH_PREFIX: &str = "/v1/session/";
 /// The path of a publication.
-pub(super) const SETTINGS: &str = "/v1/settings";
+pub(super) const SETTINGS_PATH: &str = "/v1/settings";
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
@@ -46,7 +47,7 @@
     document: Box<RawValue>,
 }
 
-/// Reads a call for a session or the settings.
+/// Parses a call for a session or the settings.
 pub(super) fn change(path: &str, body: &[u8]) -> Result<Change, RequestError> {
     match path {
         "/v1/session/open" => {
@@ -61,7 +62,7 @@
             let RejectVersion { session, name, version, reason } = serde_json::from_slice(body)?;
             Ok(Change::Refuse { session, name, version, reason })
         }
-        SETTINGS => {
+        SETTINGS_PATH => {
             let Publish { parent, by, note, document } = serde_json::from_slice(body)?;
             let document = Arc::new(Document::parse(document.get().as_bytes())?);
             Ok(Change::Publish { parent, by, note, document, unix_ms: 0 })
--- a/src/registry/api/settings.rs
+++ b/src/registry/api/settings.rs
@@ -1,9 +1,9 @@
-//! Reads of the agreement: what is in force and offered, and the settings' versions.
+//! Reads of the agreement: the members, the committed and the offered settings, and the settings' versions.
 //!
-//! - `GET /v1/agreed` answers [`AgreementView`]; with `since=R&timeout_ms=T` it waits up to T ms (at most 60,000) for a change
-//!   after R. `have=V,W` leaves the documents of those versions out.
-//! - `GET /v1/settings` answers the head, the committed and the offered version, with `version=V` that version, and
-//!   `GET /v1/settings/history` every version without its document, latest first.
+//! - `GET /v1/agreed` answers with [`AgreementView`]; with `since=R&timeout_ms=T` it waits up to T ms (at most 60,000)
+//!   for a change after revision R. `have=V,W` omits the documents of those versions.
+//! - `GET /v1/settings` answers with the head, the committed and the offered version, or with `version=V` with that
+//!   version. `GET /v1/settings/history` answers with every version without its document, latest first.
 
 use super::error::RequestError;
 use super::query::{self, Watch};
@@ -28,7 +28,7 @@
     versions: Vec<VersionView>,
 }
 
-/// Answers a read or a watch of what is agreed.
+/// Answers a read or a watch of the agreement.
 pub(super) async fn agreed(state: &ApiState, query: &str) -> Result<Reply, RequestError> {
     let Watch { since, max_wait } = Watch::from_query(query)?;
     let known_versions = query::text(query, "have").unwrap_or("").to_string();
@@ -43,22 +43,22 @@
         return Err(RequestError::AgreementBehind { at, since });
     }
     let known: Vec<u64> = known_versions.split(',').filter_map(|version| version.parse().ok()).collect();
-    let make = || agreed_body(agreement, &known);
-    let body = state.agreed.get_or_make((at, known_versions), make)?;
+    let make = || agreement_body(agreement, &known);
+    let body = state.agreement_body.get_or_make((at, known_versions), make)?;
     Ok(reply::json(StatusCode::OK, body))
 }
 
-/// What is agreed, without the documents of the versions that the watcher knows.
-fn agreed_body(agreement: &Agreement, known: &[u64]) -> Result<Bytes, RequestError> {
-    let shown = |version: u64| {
+/// The JSON of the agreement, without the documents of the versions that the watcher has.
+fn agreement_body(agreement: &Agreement, known: &[u64]) -> Result<Bytes, RequestError> {
+    let settings_view = |version: u64| {
         let document = agreement.version(version)?.document.clone();
         Some(SettingsView { version, document: Some(document).filter(|_| !known.contains(&version)) })
     };
     let agreed = AgreementView {
         revision: agreement.latest_change(),
         members: MembersView::from(agreement.members()),
-        committed: shown(agreement.committed()),
-        offered: agreement.offered().and_then(shown),
+        committed: settings_view(agreement.committed()),
+        offered: agreement.offered().and_then(settings_view),
     };
     Ok(serde_json::to_vec(&agreed)?.into())
 }
--- a/src/registry/api/settings_view.rs
+++ b/src/registry/api/settings_view.rs
@@ -1,11 +1,11 @@
-//! A version of the settings as the HTTP API shows it.
+//! The form that a version of the settings has in the HTTP API.
 
 use crate::agreement::document::Document;
 use crate::agreement::state::{Agreement, Version, VersionStatus};
 use serde::Serialize;
 use std::sync::Arc;
 
-/// A version with its status, and its document unless it is shown in the history.
+/// A version with its status, and with its document except in the history.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct VersionView {
@@ -44,10 +44,10 @@
         let (status, committed_at, reason) = match &version.status {
             VersionStatus::Waiting => (Status::Waiting, None, None),
             VersionStatus::Offered => (Status::Offered, None, None),
-            VersionStatus::Committed(at) if agreement.committed() == number => {
-                (Status::InForce, Some(*at), None)
+            VersionStatus::Committed(revision) if agreement.committed() == number => {
+                (Status::InForce, Some(*revision), None)
             }
-            VersionStatus::Committed(at) => (Status::Replaced, Some(*at), None),
+            VersionStatus::Committed(revision) => (Status::Replaced, Some(*revision), None),
             VersionStatus::Superseded => (Status::Superseded, None, None),
             VersionStatus::Withdrawn(reason) => (Status::Withdrawn, None, Some(reason.clone())),
         };
--- a/src/registry/api/state.rs
+++ b/src/registry/api/state.rs
@@ -1,4 +1,4 @@
-//! What all calls of one node share: the node, the limits on calls that wait, and the latest watch bodies.
+//! The state that all calls of one node share: the node, the limits on waiting calls, and the latest watch bodies.
 
 use super::error::RequestError;
 use super::forward::ForwardQueue;
@@ -8,37 +8,37 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Most writes waiting at once.
-const MAX_WRITES: usize = 4_096;
+/// Maximum number of writes waiting at once.
+const MAX_WAITING_WRITES: usize = 4_096;
 
 /// The state that calls share. The node's thread owns it.
 pub(super) struct ApiState {
     pub(super) node: Rc<Node>,
     /// How long a write may take before it is answered 503.
     pub(super) write_timeout: Duration,
-    /// Watches that wait.
+    /// Waiting watches.
     pub(super) watches: Gauge,
-    /// Writes that wait.
+    /// Waiting writes.
     writes: Gauge,
-    /// The latest watch event, by the revisions that it leads from and to.
-    pub(super) list_event: LatestBody<(u64, u64)>,
+    /// The latest watch event of the list, by the revisions before and after its changes.
+    pub(super) list_event_body: LatestBody<(u64, u64)>,
     /// The latest state of the agreement, by its revision and the versions that the watcher has.
-    pub(super) agreed: LatestBody<(u64, String)>,
+    pub(super) agreement_body: LatestBody<(u64, String)>,
     /// Renewals that wait to be forwarded to the leader.
     pub(super) forward_queue: Rc<ForwardQueue>,
 }
 
 impl ApiState {
-    /// The state of `node`'s API, with at most `max_watchers` watches waiting at once.
+    /// Creates the state of `node`'s API, with at most `max_watchers` watches waiting at once.
     pub(super) fn new(node: Rc<Node>, max_watchers: usize, write_timeout: Duration) -> Self {
         let forward_queue = Rc::new(ForwardQueue::new(node.clone(), write_timeout));
         Self {
             node,
             write_timeout,
             watches: Gauge::new(max_watchers),
-            writes: Gauge::new(MAX_WRITES),
-            list_event: LatestBody::default(),
-            agreed: LatestBody::default(),
+            writes: Gauge::new(MAX_WAITING_WRITES),
+            list_event_body: LatestBody::default(),
+            agreement_body: LatestBody::default(),
             forward_queue,
         }
     }
@@ -46,7 +46,7 @@
     /// Counts a watch for as long as the guard lives.
     ///
     /// # Errors
-    /// `TooManyWatches` where as many wait as may.
+    /// `TooManyWatches` where the limit of waiting watches is reached.
     pub(super) fn begin_watch(&self) -> Result<GaugeGuard<'_>, RequestError> {
         self.watches.enter().ok_or(RequestError::TooManyWatches)
     }
@@ -54,7 +54,7 @@
     /// Counts a write for as long as the guard lives.
     ///
     /// # Errors
-    /// `TooManyWrites` where as many wait as may.
+    /// `TooManyWrites` where the limit of waiting writes is reached.
     pub(super) fn begin_write(&self) -> Result<GaugeGuard<'_>, RequestError> {
         self.writes.enter().ok_or(RequestError::TooManyWrites)
     }
@@ -66,7 +66,7 @@
     max: usize,
 }
 
-/// One call in a [`Gauge`]; dropped with the call's future, so that an aborted call counts no longer.
+/// One call in a [`Gauge`]. It is dropped with the call's future, so an aborted call is no longer counted.
 pub(super) struct GaugeGuard<'a>(&'a Cell<usize>);
 
 impl Gauge {
@@ -74,7 +74,7 @@
         Self { count: Cell::new(0), max }
     }
 
-    /// Calls in progress.
+    /// The number of calls in progress.
     pub(super) fn count(&self) -> usize {
         self.count.get()
     }
@@ -94,7 +94,7 @@
     }
 }
 
-/// The latest body made for watchers: most of them wait at one revision and are sent the same text.
+/// The latest body made for watchers: most of them wait at the same revision and receive the same body.
 pub(super) struct LatestBody<K> {
     latest: RefCell<Option<(K, Bytes)>>,
 }
@@ -109,7 +109,7 @@
     /// The body for `key`: the latest one, or what `make` returns.
     ///
     /// # Errors
-    /// As `make` does.
+    /// The error of `make`.
     pub(super) fn get_or_make<E>(&self, key: K, make: impl FnOnce() -> Result<Bytes, E>) -> Result<Bytes, E> {
         if let Some((known, body)) = self.latest.borrow().as_ref()
             && *known == key
--- a/src/registry/api/writes.rs
+++ b/src/registry/api/writes.rs
@@ -1,8 +1,8 @@
 //! Writes: calls that are committed to the replicated log before they are answered.
 //!
-//! A node that does not lead forwards a write to the one that does, and waits for one to be elected, until the write's
-//! time is over. Then it answers 503 with `"outcome":"none"` where the write was not applied and will not be, as in a
-//! minority, or `"outcome":"unknown"` where it may have been applied or may yet be.
+//! A node that does not lead forwards a write to the leader. Without a leader it waits for one to be elected, until the
+//! write times out. It then answers 503 with `"outcome":"none"` where the write was not applied and will not be, as in
+//! a minority, or with `"outcome":"unknown"` where it may have been applied or may still be.
 
 use super::error::RequestError;
 use super::reply::{self, Reply};
@@ -21,18 +21,18 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Largest command as JSON: with what the log puts around it it still fits into a record. A longer one would stop the
-/// node that logs it.
+/// Maximum size of a command as JSON: together with the log's framing it still fits into a record. A longer one would
+/// stop the node that logs it.
 const MAX_COMMAND_BYTES: usize = 60 << 10;
 
-/// What a command came to.
+/// The reply to a write: the result of its command.
 #[derive(Default, Serialize)]
 struct WriteReply {
     revision: u64,
-    /// The fencing token granted.
+    /// The granted fencing token.
     #[serde(skip_serializing_if = "Option::is_none")]
     token: Option<u64>,
-    /// The session opened.
+    /// The opened session.
     #[serde(skip_serializing_if = "Option::is_none")]
     session: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -46,7 +46,7 @@
     /// The sessions that were not renewed, and why.
     #[serde(skip_serializing_if = "Option::is_none")]
     lost: Option<BTreeMap<u64, String>>,
-    /// The settings version published.
+    /// The published settings version.
     #[serde(skip_serializing_if = "Option::is_none")]
     version: Option<u64>,
 }
@@ -55,11 +55,11 @@
     fn from(applied: Applied) -> Self {
         let reply = Self { revision: applied.revision, token: applied.token, ..Self::default() };
         match applied.done {
-            CommandOutcome::Opened { session, slot, required: upto } => {
-                Self { session: Some(session), slot: Some(slot), ..reply.with_latest(upto) }
+            CommandOutcome::Opened { session, slot, required: latest } => {
+                Self { session: Some(session), slot: Some(slot), ..reply.with_latest(latest) }
             }
-            CommandOutcome::Renewed { lost, required: upto } => {
-                Self { lost: Some(lost), ..reply.with_latest(upto) }
+            CommandOutcome::Renewed { lost, required: latest } => {
+                Self { lost: Some(lost), ..reply.with_latest(latest) }
             }
             CommandOutcome::Published(version) => Self { version: Some(version), ..reply },
             CommandOutcome::Nothing => reply,
@@ -73,15 +73,15 @@
     }
 }
 
-/// Reads the body of a write to `path` into its command.
+/// Parses the body of a write to `path` into its command.
 fn parse(path: &str, body: &[u8]) -> Result<Command, RequestError> {
-    if let Some(call) = path.strip_prefix(leases::PREFIX) {
+    if let Some(call) = path.strip_prefix(leases::PATH_PREFIX) {
         return leases::command(call, body);
     }
-    if let Some(call) = path.strip_prefix(cluster::PREFIX) {
+    if let Some(call) = path.strip_prefix(cluster::PATH_PREFIX) {
         return cluster::command(call, body);
     }
-    if path == sessions::SETTINGS || path.starts_with(sessions::PREFIX) {
+    if path == sessions::SETTINGS_PATH || path.starts_with(sessions::PATH_PREFIX) {
         return Ok(Command::Agree { change: sessions::change(path, body)?, at_ms: 0 });
     }
     match path {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Has a write done here or by the node that leads. A call that another node has `forwarded` is not forwarded again.
+/// Commits a write on this node or at the leader. A call that another node has `forwarded` is not forwarded again.
 pub(super) async fn write(
     state: &ApiState,
     path: &str,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Proposes a command to this node, with the change of members that goes with it.
+/// Proposes a command to this node, and makes the change of members that belongs to it.
 async fn propose(state: &ApiState, command: &Command, timeout: Duration) -> Result<Applied, ProposeError> {
     let node = &state.node;
     if let Command::Forget { node: former } = command
@@ -141,7 +141,8 @@
     Ok(applied)
 }
 
-/// The leader's reply; none where it did not take the write, which another node may now.
+/// Forwards a write; returns the leader's reply, or `None` where that node did not accept the write: another one may
+/// lead by now.
 async fn forward_to(
     state: &ApiState,
     leader: NodeId,
--- a/src/registry/clock.rs
+++ b/src/registry/clock.rs
@@ -1,16 +1,16 @@
-//! The log's clock: what a leader stamps into its commands, and so the clock that TTLs run on.
+//! The log's clock: a leader stamps its time into commands, and TTLs are measured by it.
 //!
-//! It is not the time of day, which jumps. It counts the time for which there was a leader: a leader goes on from the
-//! latest stamp applied, at the rate of its monotonic clock, and counts at most [`LogClock::new`]'s `max_step` between
-//! two readings, which come at least every expiry tick. So
-//! - it never runs faster than real time by more than the leader's rate, and nothing expires early because a clock
-//!   jumped, a machine slept, or a stopped process (SIGSTOP) went on;
-//! - time without a leader does not count, so entries and leases outlive an election by at least its length. A lease
-//!   is thereby granted anew later, never sooner.
+//! It is not the time of day, which can jump. It counts the time during which there was a leader: a leader continues
+//! from the latest applied stamp at the rate of its monotonic clock, and counts at most `max_step` ([`LogClock::new`])
+//! between two readings, which are made at least once per expiry interval. Therefore
+//! - it runs faster than real time at most by the rate error of the leader's clock, and nothing expires early because a
+//!   clock jumped, a machine slept, or a stopped process (SIGSTOP) continued;
+//! - time without a leader does not count, so entries and leases live longer by at least the length of an election. An
+//!   election can thus delay a new grant of a lease, but never make it earlier.
 
 use std::time::Duration;
 
-/// The clock of one node. Times read are milliseconds of log time, from 0 for an empty log.
+/// The log's clock on one node. It returns log time in milliseconds, which starts at 0 for an empty log.
 #[derive(Clone, Copy, Debug)]
 pub struct LogClock {
     /// The log's time at `last_reading`.
@@ -21,14 +21,14 @@
 }
 
 impl LogClock {
-    /// A clock at log time 0 that counts at most `max_step` between two readings; `monotonic` is the time since any
-    /// fixed instant, by the node's clock.
+    /// Creates a clock at log time 0 that counts at most `max_step` between two readings; `monotonic` is the time since
+    /// any fixed instant by the node's monotonic clock.
     pub fn new(monotonic: Duration, max_step: Duration) -> Self {
         Self { now: Duration::ZERO, last_reading: monotonic, max_step }
     }
 
-    /// The time for a leader's next command in milliseconds; `applied_ms` is the latest stamp applied. A monotonic clock
-    /// that stood still or went back counts nothing.
+    /// Advances the clock on the leader and returns the time of its next command, in milliseconds; `applied_ms` is the
+    /// latest applied stamp. Where the monotonic clock stood still or went back, no time is counted.
     pub fn advance_as_leader(&mut self, monotonic: Duration, applied_ms: u64) -> u64 {
         let elapsed = monotonic.saturating_sub(self.last_reading).min(self.max_step);
         self.last_reading = monotonic;
@@ -36,7 +36,8 @@
         self.now.as_millis() as u64
     }
 
-    /// On a node that does not lead: its clock stays at the latest stamp applied, to go on from there.
+    /// Sets the clock of a node that does not lead to the latest applied stamp; as a leader it would continue from
+    /// there.
     pub fn advance_as_follower(&mut self, monotonic: Duration, applied_ms: u64) {
         (self.now, self.last_reading) = (Duration::from_millis(applied_ms), monotonic);
     }
--- a/src/registry/connections.rs
+++ b/src/registry/connections.rs
@@ -1,9 +1,9 @@
-//! The connections of a list-service node: how many there may be, and which idle one is closed for a new one. A peer
-//! that only keeps connections open must not keep proxies from their list.
+//! The connections of a list-service node: how many may be open, and which idle one is closed for a new one. A peer
+//! that only keeps connections open must not prevent proxies from reading their list.
 //!
-//! For each new connection that waits for capacity one idle connection is evicted: the one that has been idle longest
-//! or, where none is idle, the first that becomes so. An evicted connection on which a call has begun meanwhile answers
-//! that call before it is closed, and another is evicted in its place.
+//! For each new connection that waits for capacity, one idle connection is evicted: the one that has been idle longest
+//! or, where none is idle, the first that becomes idle. If a call has begun on an evicted connection meanwhile, the
+//! connection answers that call before it is closed, and another one is evicted in its place.
 
 use crate::os::descriptors;
 use std::cell::{Cell, RefCell};
@@ -11,9 +11,9 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Connections beyond those of watchers: other nodes' and writers'.
+/// Number of connections allowed in addition to those of watchers, for other nodes and writers.
 const EXTRA_CONNECTIONS: usize = 256;
-/// Descriptors reserved for files and for calls to other nodes.
+/// Number of descriptors reserved for files and for calls to other nodes.
 const RESERVED_DESCRIPTORS: usize = 96;
 
 /// All connections of a node.
@@ -24,23 +24,23 @@
     evicted: Cell<usize>,
     /// New connections that wait for capacity.
     waiting: Cell<usize>,
-    /// Grows with each connection that becomes idle, so that idle ones are ordered by when they did.
+    /// The latest key in `idle`. Keys increase, so idle connections are ordered by when they became idle.
     last_idle_key: Cell<u64>,
-    /// Those that may be evicted, the longest idle first.
+    /// The connections that may be evicted, the longest idle first.
     idle: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
     closed: Notify,
 }
 
-/// What a connection is doing.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Its first call may be on its way: it is not evicted yet.
+    /// The first call may be on its way, so the connection is not evicted yet.
     AwaitingFirstCall,
     /// A call is in progress.
     Busy,
-    /// No call is in progress; its key among the idle ones.
+    /// No call is in progress. Contains the connection's key in `Connections::idle`.
     Idle(u64),
-    /// It is to be closed for another.
+    /// The connection is to be closed for a new one.
     Evicted,
 }
 
@@ -72,14 +72,15 @@
 }
 
 impl Connections {
-    /// Capacity for this many watchers and some others, as far as the system's limit on descriptors allows.
+    /// Creates the capacity for this many watchers and [`EXTRA_CONNECTIONS`], as far as the limit on descriptors
+    /// allows.
     pub fn for_watchers(watchers: usize) -> Rc<Self> {
         let allowed = descriptors::max_open_files().unwrap_or(usize::MAX);
         let available = allowed.saturating_sub(RESERVED_DESCRIPTORS);
         Self::with_capacity(available.clamp(1, watchers + EXTRA_CONNECTIONS))
     }
 
-    /// Capacity for `max` connections.
+    /// Creates a capacity for `max` connections.
     pub fn with_capacity(max: usize) -> Rc<Self> {
         Rc::new(Self {
             max,
@@ -92,7 +93,7 @@
         })
     }
 
-    /// Waits until there is capacity for one more connection; meanwhile one is evicted for it.
+    /// Waits until there is capacity for one more connection; an idle one is evicted for it.
     pub async fn wait_for_capacity(&self) {
         let _waiting = WaitingGuard::new(&self.waiting);
         while self.open.get() >= self.max {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Counts a new connection, which is idle.
+    /// Counts a new connection that is idle.
     pub fn open(self: &Rc<Self>) -> Rc<Connection> {
         let connection = self.open_for_call();
         connection.set_idle();
@@ -115,7 +116,7 @@
         Rc::new(Connection { connections: self.clone(), state: Rc::new(state) })
     }
 
-    /// Evicts idle connections, the longest idle first, until as many are about to close as are waited for.
+    /// Evicts idle connections, the longest idle first, until enough are about to close for all waiting connections.
     fn evict_for_waiting(&self) {
         while self.open.get() + self.waiting.get() > self.max + self.evicted.get() {
             let Some((_, state)) = self.idle.borrow_mut().pop_first() else { return };
@@ -127,17 +128,17 @@
 }
 
 impl Connection {
-    /// A call is in progress from now on.
+    /// Records that a call is in progress from now on.
     pub fn set_busy(&self) {
         let was_evicted = self.leave_phase() == Phase::Evicted;
         self.state.phase.set(Phase::Busy);
         if was_evicted {
-            // It is closed only once it has answered, which may take as long as a watch.
+            // This connection is closed only after its answer, which may take as long as a watch.
             self.connections.evict_for_waiting();
         }
     }
 
-    /// No call is in progress any more.
+    /// Records that no call is in progress any more.
     pub fn set_idle(&self) {
         self.leave_phase();
         let key = self.connections.last_idle_key.get() + 1;
@@ -147,7 +148,7 @@
         self.connections.evict_for_waiting();
     }
 
-    /// The first call was waited for long enough: without one the connection is idle.
+    /// Ends the wait for the first call: a connection without a call is idle from now on.
     pub fn stop_awaiting_first_call(&self) {
         if self.state.phase.get() == Phase::AwaitingFirstCall {
             self.set_idle();
@@ -159,12 +160,12 @@
         self.state.phase.get() == Phase::Busy
     }
 
-    /// Waits until the connection is to be closed for another.
-    pub async fn evicted(&self) {
+    /// Waits until the connection is to be closed for a new one.
+    pub async fn wait_for_eviction(&self) {
         self.state.eviction.notified().await;
     }
 
-    /// Takes the connection out of the count of its phase; returns the phase, which the caller replaces.
+    /// Removes the connection from the count of its phase; returns the phase, which the caller replaces.
     fn leave_phase(&self) -> Phase {
         let phase = self.state.phase.get();
         match phase {
--- a/src/registry/liveness.rs
+++ b/src/registry/liveness.rs
@@ -1,35 +1,39 @@
-//! Renewals, kept by the leader in memory: which backends, grants of leases and sessions live, and which have expired.
+//! Renewals, kept by the leader in memory: which backends, grants of leases and sessions are live, and which have
+//! expired.
 //!
-//! Nothing of it is in the log, so that a fleet at rest writes nothing: only changes are written, ends among them
-//! ([`crate::registry::store::Command::EndExpired`]). What a leader remembers is lost with its leadership, hence two
-//! rules:
+//! Renewals are not in the log, so a fleet at rest writes nothing. Only changes are written, including the end of what
+//! has expired ([`crate::registry::store::Command::EndExpired`]). A leader's renewals are lost with its leadership, so
+//! two rules apply:
 //!
-//! - **Grace.** A leader lets nothing expire before a TTL has passed since it began to lead, which is when it has
-//!   applied an entry of its own term ([`Liveness::become_leader`]). Whoever was renewed by the leader before it has
-//!   the whole TTL to renew here.
+//! - **Grace period.** A leader lets nothing expire before a TTL has passed since it began to lead, which is when it
+//!   has applied an entry of its own term ([`Liveness::become_leader`]). Whatever the previous leader renewed has the
+//!   whole TTL to renew with the new leader.
 //! - **Quorum lease.** A leader answers a renewal only while no other can have been elected
 //!   ([`crate::registry::raft::quorum_lease`]), so every renewal that it answers comes before the next leader begins.
 //!
-//! Let a renewal be sent at `s` and taken by a leader at `r >= s`, real time. That leader lets its owner expire at
-//! `r + ttl` at the earliest. Another begins at `b >= r`, by the second rule, and lets it expire at `b + ttl >= r + ttl`
-//! at the earliest, by the first. So it lives until `s + ttl` whoever leads, which is what holders count on
-//! ([`crate::lease`]). What is no longer renewed is ended at most a TTL, the time without a leader, another TTL and an
-//! expiry tick after its last renewal; without a change of leader, a TTL and a tick.
+//! Let a renewal be sent at `s` and accepted by a leader at `r >= s`, in real time. That leader lets the renewed item
+//! expire at `r + ttl` at the earliest. By the second rule another leader begins at `b >= r`, and by the first rule it
+//! lets the item expire at `b + ttl >= r + ttl` at the earliest. So the item lives until at least `s + ttl` whichever
+//! node leads, and holders rely on this ([`crate::lease`]). An item that is no longer renewed ends after its last
+//! renewal within at most a TTL, the time without a leader, another TTL and an expiry interval; without a change of
+//! leader, within a TTL and an expiry interval.
+//!
 //! Sources: Gray and Cheriton, "Leases" (SOSP 1989); Burrows, "The Chubby lock service" (OSDI 2006), section 2.9, for the
 //! new master that extends every session's lease.
 //!
-//! Times are the log's clock ([`crate::registry::clock`]) as the leader reads it, in milliseconds: a node that was
-//! stopped counts little of that time, so that what could not reach it meanwhile does not expire at once.
+//! Times are read from the log's clock ([`crate::registry::clock`]) on the leader, in milliseconds. This clock counts
+//! little of the time for which a node was stopped, so items whose renewals could not reach the node do not expire at
+//! once.
 
 use super::store::{Expired, Expiry, Grant, GrantId, Store};
 use crate::agreement::state::{Renewal, Session};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// Most names of each kind in one `EndExpired`: as JSON they fit into a record of the log.
+/// Maximum number of items of each kind in one `EndExpired`: as JSON they fit into a record of the log.
 pub const MAX_EXPIRED_PER_COMMAND: usize = 256;
 
-/// One call's renewals: all that one machine keeps alive.
+/// The renewals of one call: everything that one machine keeps alive.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Renewals {
@@ -42,17 +46,17 @@
 }
 
 impl Renewals {
-    /// How many there are.
+    /// The number of renewals.
     pub fn len(&self) -> usize {
         self.instances.len() + self.grants.len() + self.sessions.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no renewals.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Adds another call's.
+    /// Adds the renewals of another call.
     pub fn append(&mut self, mut other: Renewals) {
         self.instances.append(&mut other.instances);
         self.grants.append(&mut other.grants);
@@ -60,22 +64,22 @@
     }
 }
 
-/// The part of a call's renewals that was lost; all else was renewed.
+/// What a call could not renew; everything else was renewed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Lost {
     /// Backends that are not listed.
     pub instances: Vec<String>,
-    /// Grants that have expired, were released or were granted anew.
+    /// Grants that have expired, were released or were replaced by a new grant.
     pub grants: Vec<GrantId>,
-    /// Sessions that are not renewed any more, and why.
+    /// Sessions that are no longer renewed, and why.
     pub sessions: BTreeMap<u64, String>,
 }
 
-/// The latest renewals of what one leader keeps alive, on the log's clock in milliseconds. The node owns it.
+/// The latest renewals that this node accepted as the leader, in milliseconds of the log's clock. The node owns it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Liveness {
-    /// None while this node does not lead.
+    /// `None` while this node does not lead.
     leadership: Option<Leadership>,
     instances: HashMap<String, u64>,
     grants: HashMap<GrantId, u64>,
@@ -97,22 +101,22 @@
 }
 
 impl Liveness {
-    /// This node leads in `term` and has applied an entry of it: from the first such call on it takes renewals, and the
-    /// grace period runs.
+    /// Records that this node leads in `term` and has applied an entry of that term. From the first such call on it
+    /// accepts renewals, and the grace period runs.
     pub fn become_leader(&mut self, term: u64, now_ms: u64) {
         if self.leadership.is_none_or(|leadership| leadership.term != term) {
             *self = Self { leadership: Some(Leadership { term, since_ms: now_ms }), ..Self::default() };
         }
     }
 
-    /// This node does not lead: the renewals that it took count no longer.
+    /// Records that this node does not lead: the renewals that it accepted are no longer valid.
     pub fn become_follower(&mut self) {
         if self.leadership.is_some() {
             *self = Self::default();
         }
     }
 
-    /// When something expires that was last renewed here at `renewed_at_ms`; never while this node does not lead.
+    /// When an item expires that was last renewed here at `renewed_at_ms`; never while this node does not lead.
     fn deadline(&self, renewed_at_ms: Option<u64>, expiry: Expiry) -> u64 {
         let Some(Leadership { since_ms, .. }) = self.leadership else { return u64::MAX };
         let last_contact_ms = renewed_at_ms.unwrap_or(0).max(since_ms);
@@ -132,7 +136,7 @@
         self.deadline(self.sessions.get(&id).map(|latest| latest.at_ms), expiry)
     }
 
-    /// Renews what the store holds and has not expired; returns what is lost.
+    /// Renews what is in the store and has not expired; returns what is lost.
     pub fn renew(&mut self, renewals: &Renewals, store: &Store, now_ms: u64) -> Lost {
         let mut lost = Lost::default();
         for id in &renewals.instances {
@@ -146,14 +150,15 @@
             }
         }
         for renewal in &renewals.sessions {
-            if let Err(why) = self.renew_session(renewal, store, now_ms) {
-                lost.sessions.insert(renewal.session, why);
+            if let Err(reason) = self.renew_session(renewal, store, now_ms) {
+                lost.sessions.insert(renewal.session, reason);
             }
         }
         lost
     }
 
-    /// A backend that has expired but is still listed may go on: no watcher has been notified of its end.
+    /// Renews a backend. One that has expired but is still listed is renewed too: no watcher has been notified of its
+    /// end.
     fn renew_instance(&mut self, id: &str, store: &Store, now_ms: u64) -> bool {
         if store.instance_expiry(id).is_none() {
             return false;
@@ -163,7 +168,8 @@
         true
     }
 
-    /// A grant that has expired is lost even if its end is not written yet: that may be on its way.
+    /// Renews a grant. One that has expired is lost even if its end is not written yet, because its end may be in
+    /// flight.
     fn renew_grant(&mut self, id: &GrantId, store: &Store, now_ms: u64) -> bool {
         let grant = store.lease(&id.name).filter(|grant| grant.token == id.token);
         let is_live = grant.is_some_and(|grant| now_ms < self.grant_deadline(id, grant.expiry()));
@@ -173,7 +179,8 @@
         is_live
     }
 
-    /// The same for a session; one that has not acknowledged the offered version in time is not renewed any more.
+    /// Renews a session, by the same rule. One that has not acknowledged the offered version in time is no longer
+    /// renewed.
     fn renew_session(&mut self, renewal: &Renewal, store: &Store, now_ms: u64) -> Result<(), String> {
         let id = renewal.session;
         let agreement = store.agreement();
@@ -183,13 +190,13 @@
         if agreement.is_overdue(session, now_ms) {
             return Err("the version on offer was not acknowledged within the TTL".into());
         }
-        let before = self.sessions.get(&id).map_or(session.last_renewal, |latest| latest.renewal);
-        let renewal = before.followed_by(renewal, session.acknowledged);
+        let previous = self.sessions.get(&id).map_or(session.last_renewal, |latest| latest.renewal);
+        let renewal = previous.followed_by(renewal, session.acknowledged);
         self.sessions.insert(id, SessionRenewal { at_ms: now_ms, renewal });
         Ok(())
     }
 
-    /// A session's latest renewal, if this node took one.
+    /// A session's latest renewal, if this node accepted one.
     pub fn last_renewal(&self, session: u64) -> Option<Renewal> {
         self.sessions.get(&session).map(|latest| latest.renewal)
     }
@@ -204,7 +211,7 @@
         self.grant_deadline(id, grant.expiry())
     }
 
-    /// What has expired, at most [`MAX_EXPIRED_PER_COMMAND`] of each kind: the rest follows with the next command.
+    /// What has expired, at most [`MAX_EXPIRED_PER_COMMAND`] of each kind; the next command contains the rest.
     pub fn expired(&self, store: &Store, now_ms: u64) -> Expired {
         let has_passed = |deadline: u64| deadline <= now_ms;
         let instances = store
@@ -229,7 +236,7 @@
         }
     }
 
-    /// Forgets what the store does not hold any more.
+    /// Removes the renewals of what is no longer in the store.
     pub fn retain_live(&mut self, store: &Store) {
         self.instances.retain(|id, _| store.instance_expiry(id).is_some());
         self.grants.retain(|id, _| store.lease(&id.name).is_some_and(|grant| grant.token == id.token));
--- a/src/registry/liveness/tests.rs
+++ b/src/registry/liveness/tests.rs
@@ -7,9 +7,9 @@
 
 const TTL_MS: u64 = 1_000;
 
-fn listed(ids: &[&str]) -> Store {
+fn store_with_instances(ids: &[&str]) -> Store {
     let mut store = Store::default();
-    store.apply(&Command::ExpireByCommand).expect("it can");
+    store.apply(&Command::ExpireByCommand).expect("applied");
     for id in ids {
         let instance = Instance {
             instance_id: (*id).into(),
@@ -21,7 +21,7 @@
             weight: 1.0,
             started_at_ms: 0,
         };
-        store.apply(&Command::Register { instance, ttl_ms: TTL_MS, at_ms: 0 }).expect("listed");
+        store.apply(&Command::Register { instance, ttl_ms: TTL_MS, at_ms: 0 }).expect("registered");
     }
     store
 }
@@ -32,7 +32,7 @@
 
 #[test]
 fn instances_expire_unless_renewed() {
-    let store = listed(&["a", "b"]);
+    let store = store_with_instances(&["a", "b"]);
     let mut liveness = Liveness::default();
     liveness.become_leader(1, 0);
     assert_eq!(liveness.renew(&instances(&["a", "c"]), &store, 900).instances, ["c"], "c is not listed");
@@ -43,22 +43,22 @@
 
 #[test]
 fn a_new_leader_grants_a_grace_period_of_one_ttl() {
-    let store = listed(&["a"]);
+    let store = store_with_instances(&["a"]);
     let mut liveness = Liveness::default();
-    assert!(liveness.expired(&store, u64::MAX - 1).is_empty(), "it does not lead");
+    assert!(liveness.expired(&store, u64::MAX - 1).is_empty(), "this node does not lead");
     liveness.become_leader(7, 5_000);
     liveness.become_leader(7, 5_400);
     assert!(liveness.expired(&store, 5_999).is_empty());
-    assert_eq!(liveness.expired(&store, 6_000).instances, ["a"], "counted from when it began to lead");
+    assert_eq!(liveness.expired(&store, 6_000).instances, ["a"], "the TTL counts from the new leadership");
     liveness.renew(&instances(&["a"]), &store, 5_900);
     liveness.become_follower();
     liveness.become_leader(7, 9_000);
-    assert_eq!(liveness.expired(&store, 10_000).instances, ["a"], "what it liveness before counts no longer");
+    assert_eq!(liveness.expired(&store, 10_000).instances, ["a"], "earlier renewals are void");
 }
 
 #[test]
 fn expired_grants_are_not_renewed_before_their_end_is_written() {
-    let mut store = listed(&[]);
+    let mut store = store_with_instances(&[]);
     let acquire = Command::Acquire { name: "d".into(), holder: "h".into(), ttl_ms: TTL_MS, at_ms: 0 };
     store.apply(&acquire).expect("granted");
     let token = store.lease("d").map_or(0, |grant| grant.token);
@@ -76,7 +76,7 @@
 
 #[test]
 fn leases_change_holder_only_after_the_grant_ended() {
-    let mut store = listed(&[]);
+    let mut store = store_with_instances(&[]);
     let acquire = |holder: &str, at_ms| Command::Acquire {
         name: "d".into(),
         holder: holder.into(),
@@ -84,7 +84,7 @@
         at_ms,
     };
     store.apply(&acquire("h0", 0)).expect("granted");
-    assert!(store.apply(&acquire("h1", 60_000)).is_err(), "whatever its own time says: it may be renewed");
+    assert!(store.apply(&acquire("h1", 60_000)).is_err(), "the grant may have been renewed");
     let token = store.lease("d").map_or(0, |grant| grant.token);
     let grants = vec![GrantId { name: "d".into(), token }];
     store
@@ -96,7 +96,7 @@
 
 #[test]
 fn sessions_live_by_renewal_and_keep_the_latest_report() {
-    let mut store = listed(&[]);
+    let mut store = store_with_instances(&[]);
     let open = state::Command::Open { name: "p".into(), ttl_ms: TTL_MS, acknowledged: 0 };
     store.apply(&Command::Agree { change: open, at_ms: 0 }).expect("opened");
     let id = store.agreement().sessions().keys().copied().next().expect("a session");
@@ -108,10 +108,10 @@
     liveness.become_leader(1, 0);
     assert!(liveness.renew(&renewal(7), &store, 800).sessions.is_empty());
     assert!(liveness.renew(&renewal(3), &store, 900).sessions.is_empty());
-    assert_eq!(liveness.last_renewal(id).map(|said| said.list), Some(7));
+    assert_eq!(liveness.last_renewal(id).map(|renewal| renewal.list), Some(7));
     assert!(liveness.expired(&store, 1_899).is_empty());
     assert_eq!(liveness.expired(&store, 1_900).sessions, [id]);
-    assert!(liveness.renew(&renewal(8), &store, 1_900).sessions.contains_key(&id), "it has run out");
+    assert!(liveness.renew(&renewal(8), &store, 1_900).sessions.contains_key(&id), "the session has expired");
     let expired = liveness.expired(&store, 1_900);
     store.apply(&Command::EndExpired { expired, at_ms: 1_900 }).expect("ended");
     liveness.retain_live(&store);
@@ -132,12 +132,12 @@
         at_ms,
     };
     store.apply(&acquire("h0", 0)).expect("granted");
-    store.apply(&acquire("h1", 1_000)).expect("its own time has run out");
+    store.apply(&acquire("h1", 1_000)).expect("granted: the first grant has expired");
     let text = serde_json::to_string(&Command::Expire { at_ms: 5 }).expect("JSON");
     assert_eq!(text, r#"{"op":"expire","at_ms":5}"#);
-    let kept = store.snapshot();
-    let mut old = serde_json::to_value(&kept).expect("JSON");
+    let snapshot = store.snapshot();
+    let mut old = serde_json::to_value(&snapshot).expect("JSON");
     old.as_object_mut().expect("an object").remove("lapse_by_command");
-    let restored: crate::registry::store::Snapshot = serde_json::from_value(old).expect("read on");
+    let restored: crate::registry::store::Snapshot = serde_json::from_value(old).expect("an old snapshot");
     assert!(!Store::restore(restored).expires_by_command());
 }
--- a/src/registry/mod.rs
+++ b/src/registry/mod.rs
@@ -1,9 +1,9 @@
 //! The list service: the fleet's discovery, with a write API for backends and operators, replicated on 3 or 5 nodes
-//! (or on one).
+//! (or running on a single one).
 //!
-//! From the bottom up: [`store`] is its pure state machine, [`clock`] the log's time, [`liveness`] the leader's memory
-//! of renewals, [`raft`] the replicated log, [`node`] one node with its watches, [`api`] the HTTP calls, and `server`
-//! the process with its [`connections`]. [`RegistryConfig`] is its configuration file.
+//! From the bottom up: [`store`] is the pure state machine, [`clock`] the log's time, [`liveness`] the renewals in the
+//! leader's memory, [`raft`] the replicated log, [`node`] one node with its watches, [`api`] the HTTP calls, and
+//! `server` the process with its [`connections`]. [`RegistryConfig`] is the configuration file.
 
 pub mod api;
 pub mod clock;
--- a/src/registry/node/forwarding.rs
+++ b/src/registry/node/forwarding.rs
@@ -9,17 +9,17 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-/// The most idle connections that are kept open.
+/// Maximum number of idle connections that are kept open.
 const MAX_IDLE_CLIENTS: usize = 32;
 
-/// Clients of other nodes whose last call has ended well.
+/// Idle clients of other nodes, whose last call succeeded.
 #[derive(Default)]
 pub(super) struct IdleClients(RefCell<Vec<(NodeId, HttpClient)>>);
 
 impl IdleClients {
     fn acquire(&self, node: NodeId) -> Option<HttpClient> {
         let mut idle = self.0.borrow_mut();
-        let index = idle.iter().position(|(of, _)| *of == node)?;
+        let index = idle.iter().position(|(peer, _)| *peer == node)?;
         Some(idle.swap_remove(index).1)
     }
 
@@ -35,21 +35,21 @@
     /// Forwards a request to another node.
     ///
     /// # Errors
-    /// As [`CallError`] says; `Connect` where the node is not in the configuration or the request was not sent.
+    /// See [`CallError`]; `Connect` where the node is not in the configuration or the request was not sent.
     pub async fn forward(
         &self,
-        to: NodeId,
+        peer: NodeId,
         request: Request<Full<Bytes>>,
         timeout: Duration,
     ) -> Result<Response<Bytes>, CallError> {
-        let mut client = match self.idle_clients.acquire(to) {
+        let mut client = match self.idle_clients.acquire(peer) {
             Some(client) => client,
-            None => HttpClient::new(*self.peers.get(&to).ok_or_else(|| {
-                CallError::Connect(std::io::Error::other(format!("node {to} is not configured")))
+            None => HttpClient::new(*self.peers.get(&peer).ok_or_else(|| {
+                CallError::Connect(std::io::Error::other(format!("node {peer} is not configured")))
             })?),
         };
         let reply = client.call(request, timeout).await?;
-        self.idle_clients.release(to, client);
+        self.idle_clients.release(peer, client);
         Ok(reply)
     }
 }
--- a/src/registry/node/membership.rs
+++ b/src/registry/node/membership.rs
@@ -1,8 +1,8 @@
 //! Joining the cluster, and changes of its members.
 //!
-//! A node that forgot its votes and entries must not vote: that could elect a leader without an acknowledged write. So
-//! the incarnation of each node's log is committed, and a node with a new log first asks the others whether another log of
-//! its number has taken part.
+//! A node that has lost its votes and entries must not vote: it could elect a leader that lacks an acknowledged write.
+//! Therefore the incarnation of each node's log is committed, and a node with a new log first asks the others whether
+//! another log of its number has taken part.
 
 use super::{Node, NodeError, RETRY_INTERVAL};
 use crate::http_client::HttpClient;
@@ -18,19 +18,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a call that asks a peer whether this node has taken part may take.
+/// Timeout of a call that asks a peer whether this node has taken part.
 const JOIN_STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a change of the members failed.
 pub type MembershipError = RaftError<NodeId, ClientWriteError<NodeId, openraft::EmptyNode>>;
 
-/// What a node knows of the part that another takes in the cluster; on the wire `[incarnation, has_cluster]`.
+/// What a node knows about the membership of another; on the wire `[incarnation, has_cluster]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Option<u64>, bool)", into = "(Option<u64>, bool)")]
 pub struct JoinStatus {
-    /// The incarnation of the log by which the other takes part, if it does.
+    /// The incarnation of the log with which the other node takes part, if it does.
     pub incarnation: Option<u64>,
-    /// Whether the log of the node that answers holds a cluster.
+    /// Whether the log of the answering node holds a cluster.
     pub has_cluster: bool,
 }
 
@@ -47,8 +47,8 @@
 }
 
 impl Node {
-    /// Lets the node take part in the cluster. At its first start it makes sure that no log of this node's number has
-    /// taken part before, and founds the cluster with its peers.
+    /// Makes the node take part in the cluster. At its first start it checks that no other log of this node's number
+    /// has taken part, and founds the cluster with its peers.
     ///
     /// # Errors
     /// `Replaced` where another log of this node has taken part.
@@ -56,30 +56,31 @@
         let has_cluster = self.log.is_new() && self.ask_peers_for_join_status().await?;
         self.admitted.set(true);
         if !self.log.is_new() && !self.peers.is_empty() {
-            // It may have taken a leader's call just before it ended, which is forgotten: see `quorum_lease`.
+            // The node may have answered a leader's call just before it last stopped, and no longer knows: see
+            // `quorum_lease`.
             tokio::time::sleep(self.election_timeout).await;
         }
         self.may_vote.set(true);
         self.log.elections().enable();
         if self.log.is_new() && !has_cluster && !self.join {
             let members: BTreeSet<NodeId> = self.peers.keys().copied().chain([self.id]).collect();
-            // Each founder initializes the same members; one that another founder has called already need not.
+            // Each founder initializes the same members. This fails on a node that another founder has already called.
             if let Err(error) = self.raft.initialize(members).await {
-                tracing::info!(%error, "not founding the cluster");
+                tracing::info!(%error, "cluster not founded by this node");
             }
         }
         Ok(())
     }
 
-    /// Asks other nodes about this one until enough of them have answered, or its log is no longer new; whether any of
-    /// them holds a cluster.
+    /// Asks other nodes about this one until enough of them have answered, or its log is no longer new. Returns whether
+    /// any of them holds a cluster.
     ///
-    /// That a node has taken part is committed on a quorum of q of n nodes, q - 1 of them others. Of n - q + 1 others at
-    /// least one therefore knows.
+    /// The fact that a node has taken part is committed on a quorum of q of n nodes, of which at least q - 1 are
+    /// others. Among any n - q + 1 others at least one therefore knows it.
     async fn ask_peers_for_join_status(&self) -> Result<bool, NodeError> {
         let nodes = self.peers.len() + 1;
         let quorum = nodes / 2 + 1;
-        let enough = (nodes - quorum + 1).min(self.peers.len());
+        let required_answers = (nodes - quorum + 1).min(self.peers.len());
         let mut has_cluster = false;
         while self.log.is_new() {
             let mut answered = 0;
@@ -91,16 +92,20 @@
                     return Err(NodeError::Replaced(self.id));
                 }
             }
-            if answered >= enough {
+            if answered >= required_answers {
                 break;
             }
-            tracing::info!(answered, enough, "waiting for other nodes before the first start");
+            tracing::info!(
+                answered,
+                enough = required_answers,
+                "waiting for other nodes before the first start"
+            );
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
         Ok(has_cluster)
     }
 
-    /// What the node at `address` knows of this one, if it answers.
+    /// Asks the node at `address` what it knows about this one; `None` where it does not answer.
     async fn join_status_at(&self, address: SocketAddr) -> Option<JoinStatus> {
         let path = format!("/raft/joined?node={}", self.id);
         let request = Request::get(path).header("host", "list").body(Full::new(Bytes::new()));
@@ -109,7 +114,8 @@
         serde_json::from_slice(reply.body()).ok()
     }
 
-    /// Has this node's log recorded as the one by which it takes part; `submit` submits a command to whichever node leads.
+    /// Records this node's log in the cluster as the one with which it takes part; `submit` submits a command to
+    /// whichever node leads.
     ///
     /// # Errors
     /// `Replaced` where another log of this node has taken part.
@@ -133,15 +139,15 @@
         }
     }
 
-    /// What this node knows of the part that `node` takes in the cluster.
+    /// What this node knows about the membership of `node`.
     pub fn join_status(&self, node: NodeId) -> JoinStatus {
         JoinStatus { incarnation: self.store().incarnation_of(node), has_cluster: !self.log.is_new() }
     }
 
-    /// Makes `node` a member that votes, once it has caught up (as the leader).
+    /// Makes `node` a voting member once it has caught up. Works on the leader only.
     ///
     /// # Errors
-    /// Raft's.
+    /// The error of Raft, for example where this node does not lead.
     pub async fn add_member(&self, node: NodeId) -> Result<(), MembershipError> {
         if self.members().contains(&node) {
             return Ok(());
@@ -152,24 +158,24 @@
         Ok(())
     }
 
-    /// Removes `node` from the members (as the leader).
+    /// Removes `node` from the members. Works on the leader only.
     ///
     /// # Errors
-    /// Raft's.
+    /// The error of Raft, for example where this node does not lead.
     pub async fn remove_member(&self, node: NodeId) -> Result<(), MembershipError> {
         let change = ChangeMembers::RemoveVoters(BTreeSet::from([node]));
         self.raft.change_membership(change, false).await?;
         Ok(())
     }
 
-    /// The members that vote, without one whose joining or leaving is not complete.
+    /// The voting members, without any whose joining or leaving is not complete.
     pub fn members(&self) -> BTreeSet<NodeId> {
         settled_voters(self.raft.metrics().borrow().membership_config.membership())
     }
 }
 
-/// Who votes in each part of a configuration. While members change it has two parts, and needs a quorum of both: a member
-/// that is in one of them cannot stand in for one of the other yet.
+/// The nodes that vote in every part of a configuration. While members change, it has two parts and needs a quorum of
+/// both: a member of only one part cannot replace a member of the other yet.
 fn settled_voters(members: &Members) -> BTreeSet<NodeId> {
     let parts = members.get_joint_config();
     members.voter_ids().filter(|node| parts.iter().all(|part| part.contains(node))).collect()
--- a/src/registry/node/membership/tests.rs
+++ b/src/registry/node/membership/tests.rs
@@ -1,10 +1,11 @@
-//! Who counts as a member while members change.
+//! Tests of which nodes count as members while members change.
 
 use super::settled_voters;
 use crate::registry::raft::Members;
 use std::collections::BTreeSet;
 
-/// Guards against a member that is reported before it can stand in for another: with the other down nothing is committed.
+/// Guards against a node that is reported as a member too early: another member could then be stopped before the new
+/// one can replace it, and nothing would be committed.
 #[test]
 fn a_node_counts_as_a_member_once_its_joining_is_complete() {
     let (before, after) = (BTreeSet::from([2, 3]), BTreeSet::from([1, 2, 3]));
--- a/src/registry/node/mod.rs
+++ b/src/registry/node/mod.rs
@@ -1,18 +1,18 @@
 //! One list-service node: the Raft that orders its commands, the store they are applied to, and the log's clock.
 //!
-//! Reads are answered from this node's own store, on followers too: everything in it is committed, and its revision only
-//! grows. How far it may be behind is stated with each answer ([`Node::staleness`]). Writes are ordered by the leader; a
-//! node that does not lead forwards them, and one that knows of no leader rejects them (`registry::api`).
+//! Reads are answered from this node's own store, on followers too: everything in it is committed, and its revision
+//! only grows. Each answer states how far the store may be behind ([`Node::staleness`]). Writes are ordered by the
+//! leader; a node that does not lead forwards them, and a node that knows no leader rejects them (`registry::api`).
 //!
 //! - `raft_config`: Raft's parameters.
 //! - [`membership`]: joining the cluster, and changes of its members.
-//! - [`proposal`]: commands that are committed, stamped with the log's time.
-//! - [`renewal`]: renewals, which the leader keeps in memory, and the expiry of what is no longer renewed.
-//! - `forwarding`: calls that are passed to another node.
+//! - [`proposal`]: committing commands, stamped with the log's time.
+//! - [`renewal`]: renewals, which the leader keeps in memory, and expiry.
+//! - `forwarding`: forwarding calls to another node.
 //! - `watch`: waiting for changes of the store and of Raft's state.
 //!
-//! While a node's disk rejects writes, nothing that waits for that disk is acknowledged; once it accepts them again the
-//! node continues by itself ([`super::raft::log`]).
+//! While a node's disk rejects writes, nothing that waits for the disk is acknowledged. Once the disk accepts writes
+//! again, the node continues by itself ([`super::raft::log`]).
 
 mod forwarding;
 pub mod membership;
@@ -41,14 +41,14 @@
 use std::sync::{Arc, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// By how much the time that the log's clock counts between two readings may exceed the expiry interval.
-const CLOCK_SLACK: Duration = Duration::from_millis(400);
-/// What the monotonic clock shows at the start, in seconds: enough that a fault test can set it back.
+/// How much more than the expiry interval the log's clock may advance between two readings.
+const CLOCK_STEP_TOLERANCE: Duration = Duration::from_millis(400);
+/// The monotonic clock's reading at the start, in seconds: large enough that a fault test can set the clock back.
 const CLOCK_START_S: f64 = 1e9;
-/// An acknowledgement of entries waits for their sync for this part of the heartbeat interval, in which the leader's call
-/// ends: the follower's and the leader's wait and the way between them fit into it.
-const SYNC_PATIENCE_DIVISOR: u32 = 4;
-/// The wait between two attempts of what needs a leader or other nodes.
+/// An acknowledgement of entries waits for their sync for at most the heartbeat interval divided by this. The leader's
+/// call ends within one heartbeat interval, so the waits of follower and leader and the network round trip fit into it.
+const SYNC_TIMEOUT_DIVISOR: u32 = 4;
+/// The wait between two attempts of an action that needs a leader or other nodes.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Why a node cannot start, or cannot continue.
@@ -63,7 +63,7 @@
     /// Raft has failed.
     #[error("raft: {0}")]
     Raft(#[source] Box<openraft::error::Fatal<NodeId>>),
-    /// Its own log is not the one by which it has taken part.
+    /// Its own log is not the one with which it has taken part.
     #[error(
         "this node's data directory is not the one by which node {0} has taken part in this cluster: what it \
          had acknowledged and voted is not here. To replace it, POST /v1/cluster/forget {{\"node\":{0}}} to \
@@ -75,9 +75,9 @@
 /// A fault for tests: a jump of the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 struct ClockJump {
-    /// How long after the node's start.
+    /// When the clock jumps, counted from the node's start.
     after: Duration,
-    /// By how many seconds.
+    /// How far it jumps, in seconds; negative values set it back.
     offset_s: f64,
 }
 
@@ -89,13 +89,13 @@
     durable_log: DurableLog,
     store: StoreHandle,
     peers: Arc<BTreeMap<NodeId, SocketAddr>>,
-    /// Whether it joins a cluster that has forgotten it, rather than found one.
+    /// Whether the node joins a cluster that has forgotten it instead of founding one.
     join: bool,
     /// Whether this node may take part: see [`Node::bootstrap`].
     admitted: Cell<bool>,
-    /// Whether it may vote and stand for election.
+    /// Whether this node may vote and stand for election.
     may_vote: Cell<bool>,
-    /// The longest time without a leader after which a node stands for election.
+    /// The upper end of the election timeout: how long a node waits without a leader before it stands for election.
     election_timeout: Duration,
     quorum_lease: QuorumLease,
     liveness: RefCell<Liveness>,
@@ -109,10 +109,12 @@
 }
 
 impl Node {
-    /// Opens a node on its data directory, or an empty one; it takes part once [`Node::bootstrap`] has returned.
+    /// Opens a node on its data directory, which may be empty. The node takes part once [`Node::bootstrap`] has
+    /// returned.
     ///
     /// # Errors
-    /// `Disk` where the directory can't be used or does not read as written; `Config` or `Raft` where Raft does not start.
+    /// `Disk` where the directory can't be used or its content is corrupt; `Config` or `Raft` where Raft does not
+    /// start.
     pub async fn open(config: &RegistryConfig) -> Result<(Self, Recovery), NodeError> {
         let (log, recovery) = match &config.data_dir {
             Some(dir) => Log::open(dir, config.node)?,
@@ -126,7 +128,7 @@
         let election_timeout = Duration::from_millis(config.election_ms[1]);
         let durable_log = DurableLog {
             log: log.clone(),
-            patience: Duration::from_millis(config.heartbeat_ms) / SYNC_PATIENCE_DIVISOR,
+            patience: Duration::from_millis(config.heartbeat_ms) / SYNC_TIMEOUT_DIVISOR,
             max_leader_stall: election_timeout,
         };
         if !config.peers.is_empty() {
@@ -143,7 +145,7 @@
             .await
             .map_err(|error| NodeError::Raft(Box::new(error)))?;
         log.elections().attach(raft.clone());
-        let max_clock_step = Duration::from_millis(config.expiry_interval_ms) + CLOCK_SLACK;
+        let max_clock_step = Duration::from_millis(config.expiry_interval_ms) + CLOCK_STEP_TOLERANCE;
         let node = Self {
             id: config.node,
             raft,
@@ -224,13 +226,14 @@
         self.expired_count.get()
     }
 
-    /// Why the node has failed, if it has.
+    /// The reason for the node's failure, if it has failed.
     pub fn failure(&self) -> Option<String> {
         self.raft.metrics().borrow().running_state.as_ref().err().map(ToString::to_string)
     }
 
-    /// How long ago this node last had contact with a leader or, leading, with a quorum: what it answers from its store
-    /// held all that was acknowledged up to then, except what was still being replicated. Zero for a node without peers.
+    /// The time since this node last had contact with a leader or, as the leader, with a quorum. Its store holds
+    /// everything that was acknowledged up to then, except what was still being replicated. Zero for a node without
+    /// peers.
     pub fn staleness(&self) -> Duration {
         match self.peers.is_empty() {
             true => Duration::ZERO,
@@ -238,7 +241,7 @@
         }
     }
 
-    /// Records that a leader has called.
+    /// Records a call of a leader as contact.
     pub fn record_leader_contact(&self) {
         self.last_contact.set(Instant::now());
     }
@@ -251,8 +254,8 @@
         elapsed + Duration::from_secs_f64(CLOCK_START_S + offset_s)
     }
 
-    /// Reads the log's clock, in milliseconds: on the leader the time of the next command, on other nodes that of the
-    /// latest command applied.
+    /// Reads the log's clock, in milliseconds: on the leader the time of the next command, on other nodes the time of
+    /// the latest applied command.
     pub fn log_time(&self) -> u64 {
         let (monotonic, applied) = (self.monotonic(), self.store().clock_ms());
         let mut clock = self.clock.borrow_mut();
--- a/src/registry/node/proposal.rs
+++ b/src/registry/node/proposal.rs
@@ -1,4 +1,4 @@
-//! Commands that are committed: stamped with the log's time, ordered by Raft and applied.
+//! Committing commands: they are stamped with the log's time, ordered by Raft and applied.
 
 use super::Node;
 use crate::agreement::state::Command as Change;
@@ -14,10 +14,10 @@
     /// The store rejected it; nothing changed.
     #[error(transparent)]
     Rejected(#[from] StoreError),
-    /// This node does not lead; nothing changed. The leader it knows of, if any.
+    /// This node does not lead; nothing changed. Contains the leader, if this node knows one.
     #[error("this node does not lead")]
     NotLeader(Option<NodeId>),
-    /// It was not committed within the timeout; it may be yet.
+    /// It was not committed within the timeout, but may still be.
     #[error("not committed in time; it may have been applied or may yet be")]
     Timeout,
     /// The node has failed and acknowledges nothing more.
@@ -26,10 +26,10 @@
 }
 
 impl Node {
-    /// Has a command committed and applied within `timeout`, stamped with the log's time where it takes one.
+    /// Commits and applies a command within `timeout`, stamped with the log's time where it has a time.
     ///
     /// # Errors
-    /// As [`ProposeError`] says.
+    /// See [`ProposeError`].
     pub async fn propose(&self, mut command: Command, timeout: Duration) -> Result<Applied, ProposeError> {
         self.check_leading()?;
         if let Command::Acquire { name, holder, .. } = &command {
@@ -47,13 +47,13 @@
         Ok(applied)
     }
 
-    /// Counts the TTL of a backend from now, when its registration is answered: the caller knows of it from then on, and
-    /// the commit may have taken a part of it.
+    /// Restarts the TTL of a registered backend when its registration is answered: the caller knows of it only from
+    /// then on, and the commit may have taken part of the TTL.
     fn renew_registered(&self, id: String) {
         let registered = Renewals { instances: vec![id], ..Renewals::default() };
-        // Where this node does not lead any more, the backend has its whole TTL from when the next one leads.
+        // Where this node no longer leads, the backend has its whole TTL from the moment when the next leader begins.
         if let Err(error) = self.renew(&registered) {
-            tracing::debug!(%error, "a registration was committed by a node that no longer leads");
+            tracing::debug!(%error, "registration committed, but this node no longer leads");
         }
     }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Has a command committed and applied as it is.
+    /// Commits and applies a command without changing it.
     pub(super) async fn commit(&self, command: Command, timeout: Duration) -> Result<Applied, ProposeError> {
         match tokio::time::timeout(timeout, self.raft.client_write(command)).await {
             Ok(Ok(written)) => Ok(written.data?),
@@ -84,7 +84,7 @@
     }
 }
 
-/// Stamps a command with the log's time `now_ms`, where it takes one.
+/// Stamps a command with the log's time `now_ms`, if it has a time.
 fn stamp(command: &mut Command, now_ms: u64) {
     match command {
         Command::Register { at_ms, .. }
@@ -96,7 +96,7 @@
         Command::Agree { at_ms, change } => {
             *at_ms = now_ms;
             if let Change::Publish { unix_ms, .. } = change {
-                // For people to read; nothing is decided by it.
+                // Informational; no decision depends on it.
                 let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
                 *unix_ms = unix.as_millis() as u64;
             }
--- a/src/registry/node/raft_config.rs
+++ b/src/registry/node/raft_config.rs
@@ -5,21 +5,21 @@
 use crate::registry::raft::network::SNAPSHOT_CHUNK_BYTES;
 use openraft::SnapshotPolicy;
 
-/// Entries of the log after which a snapshot is taken.
+/// Number of log entries after which a snapshot is taken.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 5_000;
-/// Entries that are retained behind a snapshot for nodes that lag.
+/// Number of log entries before a snapshot that are retained for nodes that lag.
 const RETAINED_ENTRIES: u64 = 1_000;
-/// The most entries sent in one call: that many of the largest records are within the largest body of a call.
+/// Maximum number of entries in one call: this many of the largest records fit into the largest body of a call.
 const MAX_ENTRIES_PER_CALL: u64 = 100;
-/// How long one chunk of a snapshot may take to be installed, in milliseconds.
+/// Timeout of the installation of one chunk of a snapshot, in milliseconds.
 const INSTALL_SNAPSHOT_TIMEOUT_MS: u64 = 2_000;
 
-/// Makes Raft's configuration of a node's.
+/// Derives Raft's configuration from that of a node.
 ///
 /// # Errors
 /// `Config` where Raft rejects it.
 pub(super) fn raft_config(config: &RegistryConfig) -> Result<openraft::Config, NodeError> {
-    // A node without peers has nobody to wait for before it leads.
+    // A node without peers need not wait for others before it leads.
     let [election_timeout_min, election_timeout_max] = match config.peers.is_empty() {
         true => [config.heartbeat_ms + 1, config.heartbeat_ms + 20],
         false => config.election_ms,
--- a/src/registry/node/renewal.rs
+++ b/src/registry/node/renewal.rs
@@ -1,5 +1,5 @@
-//! Renewals, which the leader keeps in memory ([`crate::registry::liveness`]), and the expiry of what is no longer
-//! renewed.
+//! Renewals, which the leader keeps in memory ([`crate::registry::liveness`]), and the expiry of instances, grants and
+//! sessions that are no longer renewed.
 
 use super::{Node, ProposeError, RETRY_INTERVAL};
 use crate::agreement::state::{CommandOutcome, Renewal, Session};
@@ -24,27 +24,28 @@
 }
 
 impl RenewalOutcome {
-    /// Merges the result of the acknowledgements that came with the renewals and were committed.
+    /// Merges in the result of committing the acknowledgements that came with the renewals.
     pub fn merge(&mut self, applied: Applied) {
         self.revision = self.revision.max(applied.revision);
-        if let CommandOutcome::Renewed { lost, required: upto } = applied.done {
-            (self.agreed, self.list) = (self.agreed.max(upto.agreed), self.list.max(upto.list));
+        if let CommandOutcome::Renewed { lost, required: latest } = applied.done {
+            (self.agreed, self.list) = (self.agreed.max(latest.agreed), self.list.max(latest.list));
             self.lost.sessions.extend(lost);
         }
     }
 }
 
-/// What this node knows of a session.
+/// What this node knows about a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SessionView {
-    /// What its proxy reported last.
+    /// The last report of its proxy.
     pub last_report: Renewal,
-    /// How long it lives without a further renewal, in milliseconds; `None` where this node does not receive renewals.
+    /// Time until it expires without a further renewal, in milliseconds; `None` where this node does not accept
+    /// renewals.
     pub remaining_ms: Option<u64>,
 }
 
 impl Node {
-    /// Renews what a call names, in memory.
+    /// Records the renewals of a call in memory.
     ///
     /// # Errors
     /// `NotLeader` where this node may not accept renewals, `Failed` where it has failed; nothing is renewed then.
@@ -56,7 +57,7 @@
         Ok(RenewalOutcome { revision: store.revision(), agreed, list, lost })
     }
 
-    /// What this node knows of a session at the log's time `now_ms`.
+    /// What this node knows about a session at the log's time `now_ms`.
     pub fn session_view(&self, id: u64, session: &Session, now_ms: u64) -> SessionView {
         let liveness = self.liveness.borrow();
         let expires_at_ms = Some(liveness.session_expires_at_ms(id, session)).filter(|at| *at < u64::MAX);
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Commits the expiry of what was not renewed, every `interval` and as the leader, and advances the log's clock, for
-    /// as long as the node lives.
+    /// Advances the log's clock every `interval` and, as the leader, commits the expiry of what was not renewed. Runs
+    /// for as long as the node lives.
     pub async fn run_expiry(&self, interval: Duration) {
         let mut ticks = tokio::time::interval(interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -79,7 +80,7 @@
                 Command::EndExpired { expired, .. } => expired.instances.len() as u64,
                 _ => 0,
             };
-            // One that is not committed is made again at the next tick.
+            // If it is not committed, the next tick makes the command again.
             if self.propose(command, interval.max(RETRY_INTERVAL)).await.is_ok() {
                 self.expired_count.set(self.expired_count.get() + expired);
                 self.liveness.borrow_mut().retain_live(&self.store());
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The command that the leader has to commit now that time has passed, if there is one.
+    /// The command that the leader has to commit because time has passed, if any.
     fn due_command(&self) -> Option<Command> {
         let now_ms = match self.accept_renewals() {
             Ok(now_ms) => now_ms,
@@ -102,11 +103,11 @@
         store.membership_update_is_due(now_ms).then_some(Command::Expire { at_ms: now_ms })
     }
 
-    /// Commits the end of the grant of lease `name`, where another than `holder` held it until it expired, so that the
-    /// lease may be granted.
+    /// If another holder than `holder` has the lease `name` and its grant has expired, commits the end of that grant,
+    /// so that the lease can be granted again.
     ///
     /// # Errors
-    /// `Held` where it has not expired; otherwise as [`Node::propose`].
+    /// `Held` where the grant has not expired; otherwise as [`Node::propose`].
     pub(super) async fn end_former_grant(
         &self,
         name: &str,
@@ -126,15 +127,16 @@
         self.commit(Command::EndExpired { expired, at_ms: now_ms }, timeout).await.map(drop)
     }
 
-    /// The log's time in milliseconds, once this node may accept renewals.
+    /// Checks that this node may accept renewals, and returns the log's time in milliseconds.
     ///
     /// # Errors
-    /// As [`Node::exclusive_term`]; `NotLeader` too while what an older version committed still expires by itself.
+    /// As [`Node::exclusive_term`]; also `NotLeader` while what an older version committed still expires without a
+    /// command.
     fn accept_renewals(&self) -> Result<u64, ProposeError> {
         let term = match self.exclusive_term() {
             Ok(term) => term,
             Err(error) => {
-                // Whatever could not be renewed meanwhile has its whole TTL once this node leads again.
+                // What can't be renewed meanwhile gets its whole TTL once this node leads again.
                 self.liveness.borrow_mut().become_follower();
                 return Err(error);
             }
@@ -147,11 +149,11 @@
         Ok(now_ms)
     }
 
-    /// The term in which this node leads, if it knows that no other node does and has applied an entry of that term: it may
-    /// then answer renewals and expire what was not renewed.
+    /// The term in which this node leads, if it is certain that no other node leads and it has applied an entry of that
+    /// term. It may then answer renewals and expire what was not renewed.
     ///
     /// # Errors
-    /// `NotLeader` where it does not lead, or does not know it yet or any more; `Failed` where the node has failed.
+    /// `NotLeader` where it does not lead, or is not yet or no longer certain to; `Failed` where the node has failed.
     fn exclusive_term(&self) -> Result<u64, ProposeError> {
         self.check_leading()?;
         let (term, applied_term) = {
--- a/src/registry/node/watch.rs
+++ b/src/registry/node/watch.rs
@@ -5,12 +5,13 @@
 use std::time::{Duration, Instant};
 
 impl Node {
-    /// Waits until the list has changed since revision `since`, for `timeout` at most; whether it has.
+    /// Waits until the list has changed since revision `since`, for at most `timeout`; returns whether it has changed.
     pub async fn wait_for_list_change(&self, since: u64, timeout: Duration) -> bool {
         self.wait_for(timeout, |store| store.has_changes_since(since)).await
     }
 
-    /// Waits until the agreement has changed since revision `since`, for `timeout` at most; whether it has.
+    /// Waits until the agreement has changed since revision `since`, for at most `timeout`; returns whether it has
+    /// changed.
     pub async fn wait_for_agreement_change(&self, since: u64, timeout: Duration) -> bool {
         self.wait_for(timeout, |store| store.agreement().latest_change() > since).await
     }
@@ -28,15 +29,15 @@
         tokio::time::timeout(timeout, change).await.is_ok()
     }
 
-    /// Waits until Raft's state changes, for a retry interval at most.
+    /// Waits until Raft's state changes, for at most the retry interval.
     pub async fn wait_for_raft_change(&self) {
         let mut metrics = self.raft.metrics();
         metrics.mark_unchanged();
         let _ = tokio::time::timeout(RETRY_INTERVAL, metrics.changed()).await;
     }
 
-    /// Tracks when a quorum last answered this node as the leader, and logs changes of the leader, for as long as the node
-    /// lives.
+    /// Records when a quorum last answered this node as the leader, and logs changes of the leader. Runs for as long as
+    /// the node lives.
     pub async fn track_quorum_contact(&self) {
         let mut metrics = self.raft.metrics();
         let mut known_leader = None;
@@ -46,7 +47,8 @@
                 (metrics.millis_since_quorum_ack, metrics.current_term, metrics.current_leader)
             };
             if leader != known_leader {
-                // Raft's own lines repeat with each call to a node that is down; this one states each change once.
+                // Raft's own log lines repeat with each call to a node that is down; this line is written once for each
+                // change.
                 tracing::info!(node = self.id, term, leader, "leader changed");
                 known_leader = leader;
             }
--- a/src/registry/server.rs
+++ b/src/registry/server.rs
@@ -14,9 +14,9 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A connection on which no complete head of a call arrives for this long is closed. Callers come back on a new one.
+/// A connection on which no complete head of a call arrives for this long is closed; callers then open a new one.
 const HEAD_READ_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a new connection is kept for its first call, which may be on its way.
+/// How long a new connection is protected from eviction, because its first call may be on its way.
 const FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long an evicted connection may take to write its last answer.
 const LAST_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -26,8 +26,8 @@
 /// and `LocalSet`.
 ///
 /// # Errors
-/// Where the node's data directory can't be used or does not read as written, its address can't be bound, or its log
-/// is not the one by which it has taken part.
+/// Where the node's data directory can't be used or its content is corrupt, its address can't be bound, or its log is
+/// not the one with which it has taken part.
 pub async fn serve(config: RegistryConfig) -> std::io::Result<()> {
     let (node, recovery) = Node::open(&config).await.map_err(std::io::Error::other)?;
     if let Some(dir) = &config.data_dir {
@@ -36,7 +36,7 @@
             revision = node.revision(), "log read from disk");
     }
     let node = Rc::new(node);
-    // Bound only once the log is read, so that nobody is answered from a store that fails to load.
+    // Bound only after the log is read, so that no call is answered from a store that fails to load.
     let listener = TcpListener::bind(config.listen).await?;
     eprintln!("linkhatch-proxy: registry listening on {}", listener.local_addr()?);
     start_background_tasks(&node, Duration::from_millis(config.expiry_interval_ms));
@@ -50,12 +50,12 @@
 }
 
 fn start_background_tasks(node: &Rc<Node>, expiry_interval: Duration) {
-    let (expiring, following) = (node.clone(), node.clone());
-    tokio::task::spawn_local(async move { expiring.run_expiry(expiry_interval).await });
-    tokio::task::spawn_local(async move { following.track_quorum_contact().await });
+    let (expiry_node, contact_node) = (node.clone(), node.clone());
+    tokio::task::spawn_local(async move { expiry_node.run_expiry(expiry_interval).await });
+    tokio::task::spawn_local(async move { contact_node.track_quorum_contact().await });
 }
 
-/// Takes part in the cluster. Returns only with an error: once the node takes part, [`accept`] goes on alone.
+/// Takes part in the cluster. Returns only with an error: once the node takes part, this never completes.
 async fn take_part(node: &Node, api: &Api, has_peers: bool) -> Result<(), NodeError> {
     node.bootstrap().await?;
     if has_peers {
@@ -68,7 +68,7 @@
 /// Accepts connections for as long as the node lives.
 async fn accept(listener: TcpListener, api: Api, connections: Rc<Connections>) {
     loop {
-        // Accepted before there is capacity, so that nothing is evicted while nobody waits.
+        // Accepted before there is capacity, so that no connection is evicted unless a new one waits.
         let (stream, _) = sockets::accept(&listener).await;
         connections.wait_for_capacity().await;
         if let Err(error) = stream.set_nodelay(true) {
@@ -96,21 +96,22 @@
     tokio::select! {
         biased; // a call that has arrived is read before the connection is closed
         ended = &mut http => return log_end(ended),
-        () = evicted(&connection) => tracing::debug!("closing a connection for a new one"),
+        () = wait_for_eviction(&connection) => tracing::debug!("closing a connection for a new one"),
     }
     http.as_mut().graceful_shutdown();
     write_last_answer(http, &connection).await;
 }
 
-/// Waits until the connection is to be closed for another; it is kept for its first call for a while.
-async fn evicted(connection: &Connection) {
-    if tokio::time::timeout(FIRST_CALL_TIMEOUT, connection.evicted()).await.is_err() {
+/// Waits until the connection is to be closed for a new one. A connection without a call counts as idle only after
+/// [`FIRST_CALL_TIMEOUT`], because its first call may be on its way.
+async fn wait_for_eviction(connection: &Connection) {
+    if tokio::time::timeout(FIRST_CALL_TIMEOUT, connection.wait_for_eviction()).await.is_err() {
         connection.stop_awaiting_first_call();
-        connection.evicted().await;
+        connection.wait_for_eviction().await;
     }
 }
 
-/// Lets the call in progress be answered, and the last answer be written within a time-out.
+/// Waits until the call in progress is answered and, for at most [`LAST_ANSWER_TIMEOUT`], until the answer is written.
 async fn write_last_answer(
     mut http: Pin<&mut impl Future<Output = Result<(), hyper::Error>>>,
     connection: &Connection,
@@ -120,7 +121,7 @@
         match tokio::time::timeout(LAST_ANSWER_TIMEOUT, http.as_mut()).await {
             Ok(ended) => return log_end(ended),
             Err(_) if was_busy || connection.is_busy() => {}
-            Err(_) => return tracing::debug!("an evicted connection did not take its last answer"),
+            Err(_) => return tracing::debug!("last answer of an evicted connection not written in time"),
         }
     }
 }
--- a/tests/node_connections.rs
+++ b/tests/node_connections.rs
@@ -1,11 +1,11 @@
-//! The connections of a list-service node: which one is evicted for a new one, step by step without sockets.
+//! Tests which connection of a list-service node is evicted for a new one, step by step and without sockets.
 
 use linkhatch_proxy::registry::connections::Connections;
 use std::future::{Future, poll_fn};
 use std::pin::{Pin, pin};
 use std::task::Poll;
 
-/// Whether a future is done by now.
+/// Polls a future once; returns whether it has completed.
 async fn is_done(future: &mut Pin<&mut impl Future<Output = ()>>) -> bool {
     poll_fn(|context| Poll::Ready(future.as_mut().poll(context).is_ready())).await
 }
@@ -16,8 +16,8 @@
     let [first, second, third] = [(); 3].map(|()| connections.open());
     first.set_busy();
     let mut capacity = pin!(connections.wait_for_capacity());
-    assert!(!is_done(&mut capacity).await, "three are open");
-    let mut evictions = [&first, &second, &third].map(|connection| Box::pin(connection.evicted()));
+    assert!(!is_done(&mut capacity).await, "all three connections are open");
+    let mut evictions = [&first, &second, &third].map(|connection| Box::pin(connection.wait_for_eviction()));
     let mut evicted = Vec::new();
     for eviction in &mut evictions {
         evicted.push(is_done(&mut eviction.as_mut()).await);
@@ -25,7 +25,7 @@
     assert_eq!(evicted, [false, true, false], "the first is busy, the second is the longest idle");
     drop(evictions);
     drop(second);
-    assert!(is_done(&mut capacity).await, "one is closed");
+    assert!(is_done(&mut capacity).await, "one connection is closed");
 }
 
 #[tokio::test]
@@ -35,12 +35,12 @@
     first.set_busy();
     second.set_busy();
     let mut capacity = pin!(connections.wait_for_capacity());
-    assert!(!is_done(&mut capacity).await, "both are busy");
+    assert!(!is_done(&mut capacity).await, "both connections are busy");
     second.set_idle();
-    assert!(!is_done(&mut capacity).await, "it has to be closed first");
+    assert!(!is_done(&mut capacity).await, "the evicted connection has to be closed first");
     {
-        let mut eviction = pin!(second.evicted());
-        assert!(is_done(&mut eviction).await, "it is idle, and another waits");
+        let mut eviction = pin!(second.wait_for_eviction());
+        assert!(is_done(&mut eviction).await, "the connection is idle, and a new one waits");
     }
     drop(second);
     assert!(is_done(&mut capacity).await);
