--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -1,10 +1,11 @@
-//! Benchmarks of the list service on three nodes: how long a change takes to reach 300 watchers, with a stable leader and
-//! over a leader's death; writes acknowledged per second; memory and descriptors of 1,000 watchers.
+//! Benchmarks of the list service on three nodes: how long a change takes to reach 300 watchers, with a stable leader
+//! and during a leader failover; writes acknowledged per second; memory and descriptors of 1,000 watchers.
 //!
 //! ```sh
 //! cargo bench --locked --bench registry
 //! ```
-//! All on loopback, bounded in count and time; figures are the machine's and go into `docs/ROADMAP.md`.
+//! Everything runs on loopback, with bounded counts and times. The figures depend on the machine and are recorded in
+//! `docs/ROADMAP.md`.
 
 #[path = "../tests/fleet/harness/mod.rs"]
 mod harness;
@@ -21,9 +22,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-const WATCHERS: usize = 300;
-const WEIGHT_CHANGES: usize = 200;
-const LEADER_KILLS: usize = 10;
+const WATCHER_COUNT: usize = 300;
+const WEIGHT_CHANGE_COUNT: usize = 200;
+const LEADER_KILL_COUNT: usize = 10;
 const TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The quantile `q` of sorted durations; zero where there are none.
@@ -34,13 +35,13 @@
         .unwrap_or_default()
 }
 
-/// Makes a write at `node`; returns the revision, if it was acknowledged.
+/// Sends a write to `node`; returns the revision, if the write was acknowledged.
 fn write(node: SocketAddr, path: &str, body: &Value) -> Option<u64> {
     let (status, body) = call(node, "POST", path, body)?;
     (status == 200).then(|| body["revision"].as_u64()).flatten()
 }
 
-/// Resident memory in kB and open descriptors of a process.
+/// The resident memory in kB and the number of open descriptors of a process.
 fn resources(pid: u32) -> (u64, usize) {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let rss = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).and_then(|l| l.split_whitespace().next());
@@ -48,84 +49,85 @@
     (rss.and_then(|r| r.parse().ok()).unwrap_or(0), descriptors)
 }
 
-/// The time from a change to its event: a list of 100 backends, watched by `WATCHERS` over all nodes, of which one weight
-/// changes each 20 ms.
+/// Measures the time from a change to its event: the list has 100 backends, `WATCHER_COUNT` watchers watch it on all
+/// nodes, and one weight changes every 20 ms.
 fn propagation(fleet: &mut Fleet) {
     let mut cluster = Cluster::start(fleet, 3, "");
     let leader = cluster.leader();
-    let mut last = 0;
+    let mut last_revision = 0;
     for n in 0..100 {
         let address = SocketAddr::from(([127, 0, 0, 1], 20_000 + n));
-        last =
+        last_revision =
             write(cluster.front(leader), "/v1/register", &registration(&format!("s-{n}"), address, 300_000))
                 .expect("registered");
     }
-    // Straight to the nodes: the relays of the harness are a thread a connection.
+    // The watchers connect to the nodes directly, because the harness's relays use a thread for each connection.
     let nodes: Vec<SocketAddr> = (0..3).filter_map(|n| cluster.node(n).map(|p| p.address())).collect();
-    let watchers = Watchers::start(&nodes, WATCHERS);
-    watchers.reached(last, TIMEOUT);
-    let (mut acknowledged, mut news) = (Vec::new(), Vec::new());
-    for n in 0..WEIGHT_CHANGES {
+    let watchers = Watchers::start(&nodes, WATCHER_COUNT);
+    watchers.reached(last_revision, TIMEOUT);
+    let (mut write_times, mut delays) = (Vec::new(), Vec::new());
+    for n in 0..WEIGHT_CHANGE_COUNT {
         let weight = json!({"instanceId": format!("s-{}", n % 100), "weight": 1.0 + (n / 100 + 1) as f64});
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let revision = write(nodes[n % 3], "/v1/weight", &weight).expect("acknowledged");
-        acknowledged.push(sent.elapsed());
+        write_times.push(sent_at.elapsed());
         watchers.reached(revision, TIMEOUT);
-        news.extend(watchers.delays(revision, sent));
+        delays.extend(watchers.delays(revision, sent_at));
         std::thread::sleep(Duration::from_millis(20));
     }
-    acknowledged.sort();
-    news.sort();
+    write_times.sort();
+    delays.sort();
     println!(
-        "propagation, 3 nodes, {WATCHERS} watchers, {WEIGHT_CHANGES} changes: from the write sent to the news read \
-         p50 {:?} p99 {:?} max {:?}; the write acknowledged p50 {:?} p99 {:?}",
-        quantile(0.5, &news),
-        quantile(0.99, &news),
-        quantile(1.0, &news),
-        quantile(0.5, &acknowledged),
-        quantile(0.99, &acknowledged)
+        "propagation, 3 nodes, {WATCHER_COUNT} watchers, {WEIGHT_CHANGE_COUNT} changes: from sending the \
+         write to reading the event p50 {:?} p99 {:?} max {:?}; to the write's acknowledgement p50 {:?} \
+         p99 {:?}",
+        quantile(0.5, &delays),
+        quantile(0.99, &delays),
+        quantile(1.0, &delays),
+        quantile(0.5, &write_times),
+        quantile(0.99, &write_times)
     );
 }
 
-/// The time from a SIGKILL of the leader to the event of the first write after it, at every watcher.
+/// Measures the time from a SIGKILL of the leader to the event of the first write after it, at every watcher.
 fn leader_failover(fleet: &mut Fleet) {
     let mut cluster = Cluster::start(fleet, 3, "");
     cluster.leader();
     let address = SocketAddr::from(([127, 0, 0, 1], 20_000));
     let first =
         write(cluster.front(0), "/v1/register", &registration("s", address, 300_000)).expect("registered");
-    let watchers = Watchers::start(&cluster.fronts(), WATCHERS);
+    let watchers = Watchers::start(&cluster.fronts(), WATCHER_COUNT);
     watchers.reached(first, TIMEOUT);
-    let mut news = Vec::new();
-    for kill in 0..LEADER_KILLS {
+    let mut delays = Vec::new();
+    for kill in 0..LEADER_KILL_COUNT {
         let leader = cluster.leader();
-        let killed = Instant::now();
+        let killed_at = Instant::now();
         cluster.kill(leader);
         let weight = json!({"instanceId": "s", "weight": 2.0 + kill as f64});
-        let mut to = leader;
+        let mut target = leader;
         let revision = loop {
-            to = (to + 1) % 3;
-            if let Some(revision) = write(cluster.front(to), "/v1/weight", &weight) {
+            target = (target + 1) % 3;
+            if let Some(revision) = write(cluster.front(target), "/v1/weight", &weight) {
                 break revision;
             }
-            assert!(killed.elapsed() < TIMEOUT, "no node acknowledges");
+            assert!(killed_at.elapsed() < TIMEOUT, "no node acknowledges the write");
         };
         watchers.reached(revision, TIMEOUT);
-        news.extend(watchers.delays(revision, killed));
-        cluster.start_node(fleet, leader, "").expect("it starts again");
+        delays.extend(watchers.delays(revision, killed_at));
+        cluster.start_node(fleet, leader, "").expect("the node starts again");
         cluster.agreed(revision, TIMEOUT);
     }
-    let back: usize = watchers.end().iter().map(|s| s.back).sum();
-    news.sort();
+    let decreases: usize = watchers.end().iter().map(|s| s.back).sum();
+    delays.sort();
     println!(
-        "over a leader's death ({LEADER_KILLS} times, elections after 250 to 500 ms without one): from the kill to the \
-         news of the next write p50 {:?} p99 {:?}; {back} revisions back",
-        quantile(0.5, &news),
-        quantile(0.99, &news)
+        "leader failover ({LEADER_KILL_COUNT} times, elections after 250 to 500 ms without a leader): from \
+         the kill to the event of the next write p50 {:?} p99 {:?}; {decreases} decreases of the revision",
+        quantile(0.5, &delays),
+        quantile(0.99, &delays)
     );
 }
 
-/// Writes acknowledged per second by the leader, over reused connections.
+/// Measures the writes that the leader acknowledges per second, over reused connections.
 fn writes(fleet: &mut Fleet) {
     let cluster = Cluster::start(fleet, 3, "");
     let leader = cluster.leader();
@@ -133,58 +135,61 @@
     for clients in [1usize, 8, 64] {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let started_at = Instant::now();
-        let until = started_at + Duration::from_secs(3);
-        let done: usize = tokio::task::LocalSet::new().block_on(&runtime, async {
+        let deadline = started_at + Duration::from_secs(3);
+        let acknowledged: usize = tokio::task::LocalSet::new().block_on(&runtime, async {
             let tasks: Vec<_> = (0..clients)
                 .map(|c| {
                     tokio::task::spawn_local(async move {
-                        let (mut client, mut done) = (HttpClient::new(node), 0usize);
-                        while Instant::now() < until {
+                        let (mut client, mut acknowledged) = (HttpClient::new(node), 0usize);
+                        while Instant::now() < deadline {
                             let address = SocketAddr::from(([127, 0, 0, 1], 20_000 + c as u16));
                             let mut body = registration(&format!("w-{clients}-{c}"), address, 300_000);
-                            body["weight"] = json!(1.0 + (done % 2) as f64);
+                            body["weight"] = json!(1.0 + (acknowledged % 2) as f64);
                             let request = Request::post("/v1/register")
                                 .header("host", "r")
                                 .body(Full::new(Bytes::from(body.to_string())))
                                 .expect("a request");
                             match client.call(request, TIMEOUT).await {
-                                Ok(answer) if answer.status() == 200 => done += 1,
+                                Ok(answer) if answer.status() == 200 => acknowledged += 1,
                                 Ok(answer) => panic!("status {}", answer.status()),
                                 Err(error) => panic!("{error}"),
                             }
                         }
-                        done
+                        acknowledged
                     })
                 })
                 .collect();
-            let mut done = 0;
+            let mut acknowledged = 0;
             for task in tasks {
-                done += task.await.expect("a writer ends");
+                acknowledged += task.await.expect("a writer ends");
             }
-            done
+            acknowledged
         });
         println!(
-            "writes acknowledged on 3 nodes, each fsynced on two of them: {:.0} a second by {clients} clients",
-            done as f64 / started_at.elapsed().as_secs_f64()
+            "writes acknowledged on 3 nodes, each fsynced on two of them: {:.0} per second with {clients} clients",
+            acknowledged as f64 / started_at.elapsed().as_secs_f64()
         );
     }
 }
 
-/// The memory and descriptors that 1,000 watchers cost one node.
+/// Measures the memory and descriptors that 1,000 watchers need on one node.
 fn cost_of_watchers(fleet: &mut Fleet) {
     let mut node = fleet.registry("listen = \"127.0.0.1:0\"\n").expect("a node starts");
-    let at = node.address();
+    let address = node.address();
     for n in 0..100 {
-        let address = SocketAddr::from(([127, 0, 0, 1], 20_000 + n));
-        write(at, "/v1/register", &registration(&format!("s-{n}"), address, 300_000)).expect("registered");
+        let backend = SocketAddr::from(([127, 0, 0, 1], 20_000 + n));
+        write(address, "/v1/register", &registration(&format!("s-{n}"), backend, 300_000))
+            .expect("registered");
     }
     let pid = node.id().expect("a process");
     let before = resources(pid);
-    let watchers = Watchers::start(&[at], 1_000);
+    let watchers = Watchers::start(&[address], 1_000);
     watchers.reached(101, TIMEOUT);
     let deadline = Instant::now() + TIMEOUT;
-    while call(at, "GET", "/v1/status", &Value::Null).is_none_or(|(_, s)| s["watching"] != 1_000) {
-        assert!(Instant::now() < deadline, "1,000 watch");
+    while call(address, "GET", "/v1/status", &Value::Null)
+        .is_none_or(|(_, status)| status["watching"] != 1_000)
+    {
+        assert!(Instant::now() < deadline, "fewer than 1,000 watches are waiting");
     }
     let after = resources(pid);
     println!(
@@ -198,7 +203,7 @@
 }
 
 fn main() {
-    // `cargo test --benches` and `cargo bench -- --list` only want to know that it builds.
+    // `cargo test --benches` and `cargo bench -- --list` only check that the benchmarks build.
     if std::env::args().any(|a| a == "--test" || a == "--list") {
         return;
     }
--- a/src/registry/api/forward.rs
+++ b/src/registry/api/forward.rs
@@ -83,7 +83,7 @@
     /// Forwards renewals to the leader, in one batch with others that wait.
     ///
     /// # Errors
-    /// As [`ForwardError`] says.
+    /// See [`ForwardError`].
     pub(super) async fn forward(self: &Rc<Self>, renewals: Renewals) -> ForwardResult {
         let (reply, reply_receiver) = oneshot::channel();
         {
--- a/src/registry/connections.rs
+++ b/src/registry/connections.rs
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Records that no call is in progress any more.
+    /// Records that no call is in progress.
     pub fn set_idle(&self) {
         self.leave_phase();
         let key = self.connections.last_idle_key.get() + 1;
--- a/src/registry/node/mod.rs
+++ b/src/registry/node/mod.rs
@@ -65,9 +65,9 @@
     Raft(#[source] Box<openraft::error::Fatal<NodeId>>),
     /// Its own log is not the one with which it has taken part.
     #[error(
-        "this node's data directory is not the one by which node {0} has taken part in this cluster: what it \
-         had acknowledged and voted is not here. To replace it, POST /v1/cluster/forget {{\"node\":{0}}} to \
-         another node, then start this one with join = true"
+        "this node's data directory is not the one by which node {0} has taken part in this cluster: \
+         it lacks that node's votes and acknowledged entries. To replace the node, POST /v1/cluster/forget \
+         {{\"node\":{0}}} to another node, then start this one with join = true"
     )]
     Replaced(NodeId),
 }
--- a/src/registry/node/renewal.rs
+++ b/src/registry/node/renewal.rs
@@ -153,7 +153,7 @@
     /// term. It may then answer renewals and expire what was not renewed.
     ///
     /// # Errors
-    /// `NotLeader` where it does not lead, or is not yet or no longer certain to; `Failed` where the node has failed.
+    /// `NotLeader` where it does not lead, or is not yet or no longer certain of it; `Failed` where it has failed.
     fn exclusive_term(&self) -> Result<u64, ProposeError> {
         self.check_leading()?;
         let (term, applied_term) = {
--- a/tests/list_service_api.rs
+++ b/tests/list_service_api.rs
@@ -13,20 +13,20 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// The longest that one test may take.
+/// Maximum duration of one test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// The longest wait for one answer.
+/// Maximum wait for one answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// A TTL that does not run out during a test.
+/// A TTL that does not expire during a test.
 const LONG_TTL_MS: u64 = 60_000;
-/// Headers that belong to the API; the others are the HTTP library's.
-const HEADERS: [&str; 3] = ["content-type", "retry-after", "x-list-age-ms"];
-/// Text that a clock-dependent number follows.
-const VOLATILE: [&str; 4] = ["\"leftMs\":", "\"agoMs\":", "\"unixMs\":", " until "];
-/// The same for a node with peers; a node alone is always up to date, at age 0.
-const VOLATILE_WITH_PEERS: [&str; 2] = ["\"age_ms\":", "x-list-age-ms: "];
-/// Bodies of calls longer than this are shown by their length.
-const MAX_SHOWN_BODY: usize = 1_000;
+/// Headers that belong to the API; the HTTP library sets the others.
+const RECORDED_HEADERS: [&str; 3] = ["content-type", "retry-after", "x-list-age-ms"];
+/// Texts that precede a clock-dependent number.
+const MARKERS: [&str; 4] = ["\"leftMs\":", "\"agoMs\":", "\"unixMs\":", " until "];
+/// The additional texts for a node with peers; a node without peers is always up to date, with age 0.
+const MARKERS_WITH_PEERS: [&str; 2] = ["\"age_ms\":", "x-list-age-ms: "];
+/// For longer bodies of calls the transcript shows only the length.
+const MAX_SHOWN_BODY_BYTES: usize = 1_000;
 
 /// An answer as read from the wire.
 struct Answer {
@@ -41,8 +41,8 @@
     fleet: Fleet,
     data_dir: PathBuf,
     transcript: String,
-    /// Text that a masked number follows.
-    volatile: Vec<&'static str>,
+    /// Texts that precede a masked number.
+    markers: Vec<&'static str>,
 }
 
 impl Drop for Node {
@@ -53,17 +53,17 @@
 }
 
 impl Node {
-    /// A node alone, in memory, that leads and takes renewals.
-    fn alone(config: &str) -> Self {
+    /// Starts a node without peers, in memory, that leads and accepts renewals.
+    fn single(config: &str) -> Self {
         let node = Self::start(|_| format!("listen = \"127.0.0.1:0\"\n{config}"));
         node.wait_for("/v1/status", "\"leader\":1");
-        // The first renewal is answered once the leader keeps renewals in memory.
+        // The leader answers the first renewal only once it keeps renewals in memory.
         let answer = exchange(&node.process, "POST", "/v1/keepalive", &[], "{}");
         assert_eq!(answer.status, 200, "{}", answer.body);
         node
     }
 
-    /// A node of three whose peers do not run: it has no leader and does not take part yet.
+    /// Starts one node of three whose peers do not run: it has no leader and does not take part yet.
     fn without_leader() -> Self {
         let mut node = Self::start(|data_dir| {
             format!(
@@ -72,7 +72,7 @@
                  [[peers]]\nnode = 3\naddress = \"127.0.0.1:1\"\n"
             )
         });
-        node.volatile.extend(VOLATILE_WITH_PEERS);
+        node.markers.extend(MARKERS_WITH_PEERS);
         node
     }
 
@@ -84,16 +84,16 @@
         );
         let data_dir = fleet.scratch("list-service-api");
         let process = fleet.registry(&config(&data_dir)).expect("the node starts");
-        Self { process, fleet, data_dir, transcript: String::new(), volatile: VOLATILE.to_vec() }
+        Self { process, fleet, data_dir, transcript: String::new(), markers: MARKERS.to_vec() }
     }
 
-    /// Makes a call and records it with its answer.
+    /// Makes a call and records it with its answer in the transcript.
     fn call(&mut self, method: &str, target: &str, body: &str) {
-        self.call_with(method, target, &[], body);
+        self.call_with_headers(method, target, &[], body);
     }
 
-    /// Makes a call with additional headers and records it with its answer.
-    fn call_with(&mut self, method: &str, target: &str, headers: &[&str], body: &str) {
+    /// Makes a call with additional headers and records it with its answer in the transcript.
+    fn call_with_headers(&mut self, method: &str, target: &str, headers: &[&str], body: &str) {
         let answer = exchange(&self.process, method, target, headers, body);
         self.record(method, target, headers, body, &answer);
     }
@@ -109,21 +109,21 @@
     fn record(&mut self, method: &str, target: &str, headers: &[&str], body: &str, answer: &Answer) {
         let shown = match body.len() {
             0 => String::new(),
-            length if length > MAX_SHOWN_BODY => format!(" ({length} bytes)"),
+            length if length > MAX_SHOWN_BODY_BYTES => format!(" ({length} bytes)"),
             _ => format!(" {body}"),
         };
         let headers: String = headers.iter().map(|header| format!(" [{header}]")).collect();
         let mut entry = format!("> {method} {target}{headers}{shown}\n{}\n", answer.status);
-        for name in HEADERS {
+        for name in RECORDED_HEADERS {
             if let Some((_, value)) = answer.headers.iter().find(|(known, _)| known == name) {
                 let _ = writeln!(entry, "{name}: {value}");
             }
         }
         let _ = writeln!(entry, "{}\n", answer.body);
-        self.transcript.push_str(&mask(&entry, &self.volatile));
+        self.transcript.push_str(&mask(&entry, &self.markers));
     }
 
-    /// Calls `target` without recording it until its answer contains `text`.
+    /// Calls `target` until its answer contains `text`, without recording the calls.
     fn wait_for(&self, target: &str, text: &str) {
         let deadline = Instant::now() + ANSWER_TIMEOUT;
         loop {
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Compares the transcript with its file.
-    fn finish(self, name: &str) {
+    /// Compares the transcript with its golden file.
+    fn check_transcript(self, name: &str) {
         self.fleet.check_deadline();
         let path = Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("tests/golden/list_service_api")
@@ -191,7 +191,7 @@
     receive(&mut stream)
 }
 
-/// Replaces the numbers behind `markers`.
+/// Replaces the numbers after `markers` by `#`.
 fn mask(text: &str, markers: &[&str]) -> String {
     markers.iter().fold(text.to_string(), |text, marker| {
         let mut parts = text.split(marker);
@@ -207,6 +207,7 @@
            "lifecycle": "SERVING", "weight": 1.5, "startedAtMs": 12, "ttlMs": LONG_TTL_MS})
 }
 
+/// Sets one field of a JSON object.
 fn with(mut object: Value, key: &str, value: Value) -> Value {
     object[key] = value;
     object
@@ -226,12 +227,12 @@
     json!({"parent": parent, "by": "ops", "note": "n", "document": document(max_attempts)})
 }
 
-/// Bodies that are JSON but not the object that a call takes, and one that is not JSON.
+/// A body that is not JSON, and bodies that are JSON but not the object that a call expects.
 const MALFORMED: [&str; 5] = ["", "5", "[]", "{}", "{\"unknown\":1}"];
 
 #[test]
 fn endpoint_calls_keep_their_wire_form() {
-    let mut node = Node::alone("");
+    let mut node = Node::single("");
     node.get("/api/targets");
     node.post("/v1/register", &instance("s-1"));
     node.post("/v1/register", &instance("s-1"));
@@ -284,12 +285,12 @@
     node.post("/v1/unknown", &json!({"instanceId": "s-1"}));
     node.post("/v1/register", &with(instance("s-3"), "zone", json!("z".repeat(62 << 10))));
     node.call("POST", "/v1/register", &"x".repeat((64 << 10) + 1));
-    node.finish("endpoints");
+    node.check_transcript("endpoints");
 }
 
 #[test]
 fn lease_calls_keep_their_wire_form() {
-    let mut node = Node::alone("");
+    let mut node = Node::single("");
     let lease = |holder: &str| json!({"name": "d", "holder": holder, "ttlMs": LONG_TTL_MS});
     node.post("/v1/lease/acquire", &lease("h1"));
     node.post("/v1/lease/acquire", &lease("h1"));
@@ -311,12 +312,12 @@
             node.call("POST", path, body);
         }
     }
-    node.finish("leases");
+    node.check_transcript("leases");
 }
 
 #[test]
 fn session_and_settings_calls_keep_their_wire_form() {
-    let mut node = Node::alone("");
+    let mut node = Node::single("");
     node.get("/v1/agreed");
     node.get("/v1/settings");
     node.get("/v1/settings/history");
@@ -364,9 +365,9 @@
     node.post("/v1/session/open", &json!({"name": "p", "ttlMs": 1, "holds": 99}));
     node.post("/v1/settings", &json!({"parent": 0, "by": "ops", "document": {"max-attempts": 1}}));
     node.post("/v1/settings", &json!({"parent": 0, "by": "ops", "document": document(99)}));
-    let head = with(document(2), "floor", with(document(2)["floor"].clone(), "max-retry-after", json!(0.5)));
-    let head = with(head, "max-retry-after", json!(0.5));
-    node.post("/v1/settings", &json!({"parent": 10, "by": "ops", "document": head}));
+    let doc = with(document(2), "floor", with(document(2)["floor"].clone(), "max-retry-after", json!(0.5)));
+    let doc = with(doc, "max-retry-after", json!(0.5));
+    node.post("/v1/settings", &json!({"parent": 10, "by": "ops", "document": doc}));
     node.post("/v1/settings", &json!({"parent": 10, "by": "", "document": document(2)}));
     let paths = ["/v1/session/open", "/v1/session/close", "/v1/session/refuse", "/v1/session/renew"];
     for path in paths.into_iter().chain(["/v1/settings", "/v1/session/unknown"]) {
@@ -374,12 +375,12 @@
             node.call("POST", path, body);
         }
     }
-    node.finish("sessions_and_settings");
+    node.check_transcript("sessions_and_settings");
 }
 
 #[test]
 fn renewal_calls_keep_their_wire_form() {
-    let mut node = Node::alone("");
+    let mut node = Node::single("");
     node.post("/v1/register", &instance("s-1"));
     node.post("/v1/lease/acquire", &json!({"name": "d", "holder": "h", "ttlMs": LONG_TTL_MS}));
     node.post("/v1/session/open", &json!({"name": "p", "ttlMs": LONG_TTL_MS}));
@@ -387,10 +388,10 @@
     node.post("/v1/heartbeat", &json!({"instanceId": "s-1"}));
     node.post("/v1/heartbeat", &json!({"instanceId": "s-9"}));
     node.post("/v1/keepalive", &json!({}));
-    let together = json!({"instances": ["s-1", "s-9", "s-8"],
-                          "grants": [{"name": "d", "token": 3}, {"name": "d", "token": 4}],
-                          "sessions": [{"session": 4}, {"session": 9}, {"session": 10}]});
-    node.post("/v1/keepalive", &together);
+    let mixed = json!({"instances": ["s-1", "s-9", "s-8"],
+                       "grants": [{"name": "d", "token": 3}, {"name": "d", "token": 4}],
+                       "sessions": [{"session": 4}, {"session": 9}, {"session": 10}]});
+    node.post("/v1/keepalive", &mixed);
     node.post("/v1/keepalive", &json!({"instances": vec!["s-1"; 256]}));
     node.post("/v1/keepalive", &json!({"instances": vec!["s-1"; 257]}));
     for path in ["/v1/heartbeat", "/v1/keepalive"] {
@@ -398,12 +399,12 @@
             node.call("POST", path, body);
         }
     }
-    node.finish("renewals");
+    node.check_transcript("renewals");
 }
 
 #[test]
 fn cluster_and_status_calls_keep_their_wire_form() {
-    let mut node = Node::alone("");
+    let mut node = Node::single("");
     node.get("/-/ready");
     node.get("/v1/status");
     node.post("/v1/register", &instance("s-1"));
@@ -427,12 +428,12 @@
     node.call("POST", "/api/targets", "{}");
     node.call("PUT", "/v1/register", "{}");
     node.call("DELETE", "/v1/unknown", "");
-    node.finish("cluster");
+    node.check_transcript("cluster");
 }
 
 #[test]
 fn a_watch_over_the_limit_is_rejected() {
-    let mut node = Node::alone("most_watchers = 1\n");
+    let mut node = Node::single("most_watchers = 1\n");
     let mut watch = connect(&node.process);
     send(watch.get_mut(), "GET", "/api/targets?since=1&timeout_ms=20000", &[], "");
     node.wait_for("/v1/status", "\"watching\":1");
@@ -443,7 +444,7 @@
     node.post("/v1/register", &instance("s-1"));
     let event = receive(&mut watch);
     node.record("GET", "/api/targets?since=1&timeout_ms=20000", &[], "", &event);
-    node.finish("watches");
+    node.check_transcript("watches");
 }
 
 #[test]
@@ -456,11 +457,11 @@
     node.get("/v1/agreed");
     node.get("/v1/fleet");
     for headers in [&[][..], &["x-passed-on: 1"][..]] {
-        node.call_with("POST", "/v1/register", headers, &instance("s-1").to_string());
-        node.call_with("POST", "/v1/heartbeat", headers, "{\"instanceId\":\"s-1\"}");
-        node.call_with("POST", "/v1/keepalive", headers, "{}");
-        node.call_with("POST", "/v1/session/renew", headers, "{\"session\":1}");
+        node.call_with_headers("POST", "/v1/register", headers, &instance("s-1").to_string());
+        node.call_with_headers("POST", "/v1/heartbeat", headers, "{\"instanceId\":\"s-1\"}");
+        node.call_with_headers("POST", "/v1/keepalive", headers, "{}");
+        node.call_with_headers("POST", "/v1/session/renew", headers, "{\"session\":1}");
     }
     node.call("POST", "/raft/vote", "{}");
-    node.finish("without_leader");
+    node.check_transcript("without_leader");
 }
