--- a/src/registry/api/error.rs
+++ b/src/registry/api/error.rs
@@ -215,10 +215,11 @@
 
     fn detail(&self) -> Option<Detail<'_>> {
         match self {
-            Self::Document(error) | Self::Rejected(StoreError::Agree(AgreementError::Document(error))) => {
+            Self::Document(error)
+            | Self::Rejected(StoreError::Agreement(AgreementError::Document(error))) => {
                 Some(Detail::Key(&error.key))
             }
-            Self::Rejected(StoreError::Agree(AgreementError::Behind(version))) => {
+            Self::Rejected(StoreError::Agreement(AgreementError::Behind(version))) => {
                 Some(Detail::Hold(*version))
             }
             Self::Conflict { head, .. } => Some(Detail::Head(head.as_deref())),
@@ -240,15 +241,15 @@
     match error {
         StoreError::Held { .. }
         | StoreError::Lost(_)
-        | StoreError::Joined(_)
-        | StoreError::Agree(
+        | StoreError::OtherLogJoined(_)
+        | StoreError::Agreement(
             AgreementError::Behind(_)
             | AgreementError::Lost(_)
             | AgreementError::NotOffered(_)
             | AgreementError::Conflict { .. },
         ) => StatusCode::CONFLICT,
         StoreError::Unknown(_) => StatusCode::NOT_FOUND,
-        StoreError::Agree(AgreementError::Full) => StatusCode::SERVICE_UNAVAILABLE,
+        StoreError::Agreement(AgreementError::Full) => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::BAD_REQUEST,
     }
 }
--- a/src/registry/api/join.rs
+++ b/src/registry/api/join.rs
@@ -32,7 +32,7 @@
     };
     match status {
         StatusCode::OK => Ok(()),
-        StatusCode::CONFLICT => Err(StoreError::Joined(node)),
+        StatusCode::CONFLICT => Err(StoreError::OtherLogJoined(node)),
         status => Err(StoreError::Unknown(format!("status {status}"))),
     }
 }
@@ -45,7 +45,7 @@
         let answer = state.node.forward(peer, request.unwrap_or_default(), JOIN_TIMEOUT).await;
         match answer.map(|answer| answer.status()) {
             Ok(StatusCode::OK) => return Ok(()),
-            Ok(StatusCode::CONFLICT) => return Err(StoreError::Joined(node)),
+            Ok(StatusCode::CONFLICT) => return Err(StoreError::OtherLogJoined(node)),
             _ => {}
         }
     }
--- a/src/registry/api/renewals.rs
+++ b/src/registry/api/renewals.rs
@@ -144,7 +144,7 @@
         call.renewals.sessions.iter().filter(is_new).copied().collect()
     };
     if !renewals.is_empty() {
-        let command = Command::Agree { change: Change::Renew { renewals }, at_ms: 0 };
+        let command = Command::ChangeAgreement { change: Change::Renew { renewals }, at_ms: 0 };
         let applied = state.node.propose(command, timeout).await;
         renewed.merge(applied.map_err(RequestError::NotAcknowledged)?);
     }
--- a/src/registry/api/writes.rs
+++ b/src/registry/api/writes.rs
@@ -54,7 +54,7 @@
 impl From<Applied> for WriteReply {
     fn from(applied: Applied) -> Self {
         let reply = Self { revision: applied.revision, token: applied.token, ..Self::default() };
-        match applied.done {
+        match applied.outcome {
             CommandOutcome::Opened { session, slot, required: latest } => {
                 Self { session: Some(session), slot: Some(slot), ..reply.with_latest(latest) }
             }
@@ -82,7 +82,7 @@
         return cluster::command(call, body);
     }
     if path == sessions::SETTINGS_PATH || path.starts_with(sessions::PATH_PREFIX) {
-        return Ok(Command::Agree { change: sessions::change(path, body)?, at_ms: 0 });
+        return Ok(Command::ChangeAgreement { change: sessions::change(path, body)?, at_ms: 0 });
     }
     match path {
         "/v1/register" => endpoints::registration(body),
@@ -161,7 +161,7 @@
 
 fn rejection(state: &ApiState, error: StoreError) -> RequestError {
     match error {
-        StoreError::Agree(error @ AgreementError::Conflict { head, .. }) => {
+        StoreError::Agreement(error @ AgreementError::Conflict { head, .. }) => {
             let store = state.node.store();
             let head = VersionView::with_document(head, store.agreement());
             RequestError::Conflict { error, head: head.map(Box::new) }
--- a/src/registry/liveness/tests.rs
+++ b/src/registry/liveness/tests.rs
@@ -98,7 +98,7 @@
 fn sessions_live_by_renewal_and_keep_the_latest_report() {
     let mut store = store_with_instances(&[]);
     let open = state::Command::Open { name: "p".into(), ttl_ms: TTL_MS, acknowledged: 0 };
-    store.apply(&Command::Agree { change: open, at_ms: 0 }).expect("opened");
+    store.apply(&Command::ChangeAgreement { change: open, at_ms: 0 }).expect("opened");
     let id = store.agreement().sessions().keys().copied().next().expect("a session");
     let renewal = |list| {
         let renewal = Renewal { session: id, list, ..Renewal::default() };
--- a/src/registry/node/membership.rs
+++ b/src/registry/node/membership.rs
@@ -6,7 +6,7 @@
 
 use super::{Node, NodeError, RETRY_INTERVAL};
 use crate::http_client::HttpClient;
-use crate::registry::raft::{Members, NodeId};
+use crate::registry::raft::{Membership, NodeId};
 use crate::registry::store::{Command, StoreError};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -133,7 +133,7 @@
             }
             match submit(Command::Join { node, incarnation }).await {
                 Ok(()) => return Ok(()),
-                Err(StoreError::Joined(_)) => return Err(NodeError::Replaced(node)),
+                Err(StoreError::OtherLogJoined(_)) => return Err(NodeError::Replaced(node)),
                 Err(_) => tokio::time::sleep(RETRY_INTERVAL).await,
             }
         }
@@ -176,7 +176,7 @@
 
 /// The nodes that vote in every part of a configuration. While members change, it has two parts and needs a quorum of
 /// both: a member of only one part cannot replace a member of the other yet.
-fn settled_voters(members: &Members) -> BTreeSet<NodeId> {
+fn settled_voters(members: &Membership) -> BTreeSet<NodeId> {
     let parts = members.get_joint_config();
     members.voter_ids().filter(|node| parts.iter().all(|part| part.contains(node))).collect()
 }
--- a/src/registry/node/mod.rs
+++ b/src/registry/node/mod.rs
@@ -128,7 +128,7 @@
         let election_timeout = Duration::from_millis(config.election_ms[1]);
         let durable_log = DurableLog {
             log: log.clone(),
-            patience: Duration::from_millis(config.heartbeat_ms) / SYNC_TIMEOUT_DIVISOR,
+            full_ack_timeout: Duration::from_millis(config.heartbeat_ms) / SYNC_TIMEOUT_DIVISOR,
             max_leader_stall: election_timeout,
         };
         if !config.peers.is_empty() {
--- a/src/registry/node/proposal.rs
+++ b/src/registry/node/proposal.rs
@@ -93,7 +93,7 @@
         | Command::KeepAlive { at_ms, .. }
         | Command::EndExpired { at_ms, .. }
         | Command::Expire { at_ms } => *at_ms = now_ms,
-        Command::Agree { at_ms, change } => {
+        Command::ChangeAgreement { at_ms, change } => {
             *at_ms = now_ms;
             if let Change::Publish { unix_ms, .. } = change {
                 // Informational; no decision depends on it.
--- a/src/registry/node/renewal.rs
+++ b/src/registry/node/renewal.rs
@@ -27,7 +27,7 @@
     /// Merges in the result of committing the acknowledgements that came with the renewals.
     pub fn merge(&mut self, applied: Applied) {
         self.revision = self.revision.max(applied.revision);
-        if let CommandOutcome::Renewed { lost, required: latest } = applied.done {
+        if let CommandOutcome::Renewed { lost, required: latest } = applied.outcome {
             (self.agreed, self.list) = (self.agreed.max(latest.agreed), self.list.max(latest.list));
             self.lost.sessions.extend(lost);
         }
@@ -163,7 +163,7 @@
         };
         let members: Vec<NodeId> = self.members().into_iter().collect();
         let holds_lease =
-            self.quorum_lease.holds(self.id, term, &members, self.election_timeout, Instant::now());
+            self.quorum_lease.is_valid(self.id, term, &members, self.election_timeout, Instant::now());
         match applied_term == Some(term) && holds_lease {
             true => Ok(term),
             false => Err(ProposeError::NotLeader(None)),
--- a/src/registry/raft/disk_error.rs
+++ b/src/registry/raft/disk_error.rs
@@ -17,18 +17,18 @@
         /// The system's error.
         source: io::Error,
     },
-    /// A file does not read as it was written.
+    /// The content of a file is damaged.
     #[error("{path}: at byte {offset}: {reason}; the node does not start, so that no data is lost silently")]
     Corrupt {
         /// The file.
         path: PathBuf,
-        /// Where the bad part begins.
+        /// Where the damaged part begins, in bytes.
         offset: u64,
         /// What is wrong with it.
         reason: Corruption,
     },
     /// The directory belongs to another node.
-    #[error("{path}: is the log of node {found}, not of node {expected}")]
+    #[error("{path}: the log belongs to node {found}, not to node {expected}")]
     OtherNode {
         /// The directory.
         path: PathBuf,
@@ -37,50 +37,50 @@
         /// The node that opens it.
         expected: NodeId,
     },
-    /// The directory holds the data of a version without replication.
+    /// The directory contains the data of a version without replication.
     #[error(
-        "{path}: holds a list of the version before replication, which this version does not read; export it with \
-         that version, and give this one a new directory"
+        "{path}: contains a list of a version without replication, which this version cannot read; export the list \
+         with that version and use a new directory for this one"
     )]
-    BeforeReplication {
+    UnreplicatedFormat {
         /// The directory.
         path: PathBuf,
     },
 }
 
 impl DiskError {
-    /// Makes an error of a file operation on `path`.
+    /// Converts the error of a file operation on `path`.
     pub(super) fn io(path: &Path) -> impl FnOnce(io::Error) -> Self + '_ {
         move |source| Self::Io { path: path.to_path_buf(), source }
     }
 }
 
-/// What is wrong with a file that does not read as it was written.
+/// What is wrong with a damaged file.
 #[derive(Debug, Error)]
 pub enum Corruption {
     /// A frame is damaged or incomplete.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The body of a frame is not what belongs there.
+    /// The body of a frame is not the expected JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The first record of the log is not its head.
-    #[error("the log does not begin with its head")]
-    MissingHead,
-    /// A head stands after the first record of the log.
-    #[error("a second head")]
-    SecondHead,
+    /// The first record of the log is not its header.
+    #[error("the log does not begin with its header")]
+    MissingHeader,
+    /// A record after the first one of the log is a header.
+    #[error("the log has a second header")]
+    DuplicateHeader,
     /// The index of an entry does not follow that of the entry before it.
     #[error("entry {found} where {expected} was expected")]
     EntryGap {
         /// The index of the entry.
         found: u64,
-        /// The index that follows the one before.
+        /// The index that follows that of the entry before it.
         expected: u64,
     },
-    /// The log is older or shorter than what was acknowledged by the mark.
+    /// The log is older or shorter than the mark says.
     #[error(
-        "the log ends here, at generation {generation}, and {durable_length} bytes of generation \
+        "the log ends here, at generation {generation}, but {durable_length} bytes of generation \
          {durable_generation} were acknowledged"
     )]
     ShorterThanAcknowledged {
@@ -88,13 +88,13 @@
         generation: u64,
         /// The generation of the mark.
         durable_generation: u64,
-        /// The bytes of that generation that the mark acknowledges.
+        /// The durable length of that generation according to the mark, in bytes.
         durable_length: u64,
     },
-    /// The log relies on a later snapshot than the one that is there.
-    #[error("the log was purged up to entry {purged_index}, and the snapshot is older or missing")]
+    /// The log needs a later snapshot than the stored one.
+    #[error("the log was purged up to entry {purged_index}, but the snapshot is older or missing")]
     SnapshotTooOld {
-        /// The last entry that is in the snapshot only.
+        /// The index of the last entry purged from the log.
         purged_index: u64,
     },
 }
--- a/src/registry/raft/election.rs
+++ b/src/registry/raft/election.rs
@@ -1,30 +1,30 @@
-//! When a node may stand for election. Raft starts another election once the election timeout has passed since the node's
-//! last vote, whether or not answers to that vote can have come: a vote has to be durable where it is cast and at
-//! each node that grants it. Where a sync takes long, every election would be overtaken by the next one.
+//! When a node may stand for election. Raft starts another election once the election timeout has passed since the
+//! node's last vote, even if no answer to that vote can have arrived yet: a vote has to be durable on the node that
+//! casts it and on each node that grants it. If syncs are slow, each election would be overtaken by the next one.
 //!
-//! So a node that has made a vote durable does not stand for election for a multiple of the time that this took.
+//! Therefore a node that has made a vote durable does not stand for election for a multiple of the time that this took.
 
 use super::Raft;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Duration;
 
-/// Of the time that a vote took to be durable: for as long as this multiple the node does not stand for election. The
-/// other nodes' sync takes one, and as much is left for the leader's first call.
+/// The pause after a vote, as a multiple of the time that the vote took to become durable: once for the sync of the
+/// other nodes, and once for the leader's first call.
 const PAUSE_FACTOR: u32 = 2;
-/// The longest such pause.
+/// The longest pause after a vote.
 const MAX_PAUSE: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Default)]
 struct State {
-    /// Whether the node may vote at all.
+    /// Whether the node may stand for election at all.
     is_enabled: bool,
     /// Votes cast so far.
     votes: u64,
-    /// Whether the latest vote may still be on its way.
+    /// Whether the latest vote may still be in progress.
     is_paused: bool,
 }
 
-/// Decides whether the node may stand for election; clones share the decision.
+/// Decides whether the node may stand for election; clones share their state.
 #[derive(Clone, Default)]
 pub struct ElectionGate {
     state: Arc<Mutex<State>>,
@@ -32,21 +32,21 @@
 }
 
 impl ElectionGate {
-    /// Controls the elections of `raft` from now on; they are disabled at first.
+    /// Controls the elections of `raft` from now on; they are initially disabled.
     pub fn attach(&self, raft: Raft) {
-        // The first one stays: there is one Raft a node.
+        // A second call has no effect: each node has one Raft.
         let _ = self.raft.set(raft);
     }
 
-    /// Lets the node stand for election, unless a vote was just cast.
+    /// Allows the node to stand for election, except in the pause after a vote.
     pub fn enable(&self) {
         let mut state = self.lock();
         state.is_enabled = true;
         self.apply(&state);
     }
 
-    /// A vote is about to be made durable; returns its number.
-    pub(super) fn vote_cast(&self) -> u64 {
+    /// Records that a vote is about to be made durable; returns the vote's number.
+    pub(super) fn on_vote_cast(&self) -> u64 {
         let mut state = self.lock();
         state.votes += 1;
         state.is_paused = true;
@@ -54,14 +54,14 @@
         state.votes
     }
 
-    /// The vote with this number is durable, after `elapsed`.
-    pub(super) fn vote_durable(&self, vote: u64, elapsed: Duration) {
+    /// Records that the vote with this number became durable after `elapsed`.
+    pub(super) fn on_vote_durable(&self, vote: u64, elapsed: Duration) {
         let gate = self.clone();
         let pause = (elapsed * PAUSE_FACTOR).min(MAX_PAUSE);
         tokio::spawn(async move {
             tokio::time::sleep(pause).await;
             let mut state = gate.lock();
-            // Another vote has a pause of its own.
+            // A later vote has its own pause.
             if state.votes == vote {
                 state.is_paused = false;
                 gate.apply(&state);
--- a/src/registry/raft/frame.rs
+++ b/src/registry/raft/frame.rs
@@ -2,26 +2,26 @@
 
 use thiserror::Error;
 
-/// Bytes of a frame before its body.
+/// Length of a frame's header, in bytes.
 pub const HEADER_BYTES: usize = 8;
 
-/// Why bytes are not a frame.
+/// Why bytes cannot be read as a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The length is above what is expected there.
-    #[error("a record of {length} bytes, more than {max}")]
+    /// The body is longer than allowed.
+    #[error("a record of {length} bytes exceeds the maximum of {max}")]
     TooLong {
         /// The length of the body, in bytes.
         length: usize,
-        /// The most bytes that a body may have there.
+        /// The maximum length of the body, in bytes.
         max: usize,
     },
-    /// The body is not the one that was written.
-    #[error("a record whose checksum does not match")]
+    /// The body does not match its checksum.
+    #[error("the checksum of a record does not match")]
     Checksum,
     /// The bytes end before the frame does.
-    #[error("cut short")]
-    CutShort,
+    #[error("a record is truncated")]
+    Truncated,
 }
 
 /// Appends a frame around `body` to `buffer`.
@@ -31,10 +31,10 @@
     buffer.extend_from_slice(body);
 }
 
-/// Returns the body of the frame at the start of `bytes`, or `None` where the frame is cut short.
+/// Returns the body of the frame at the start of `bytes`, or `None` if the frame is incomplete.
 ///
 /// # Errors
-/// `TooLong` where the body would exceed `max_body_bytes`, `Checksum` where it does not match its checksum.
+/// `TooLong` if the body would exceed `max_body_bytes`, `Checksum` if it does not match its checksum.
 pub fn read(bytes: &[u8], max_body_bytes: usize) -> Result<Option<&[u8]>, FrameError> {
     let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let Some((checksum, rest)) = rest.split_first_chunk::<4>() else { return Ok(None) };
@@ -49,10 +49,10 @@
     }
 }
 
-/// Returns the body of the frame at the start of `bytes`, which must hold all of it.
+/// Returns the body of the frame at the start of `bytes`, which must contain the complete frame.
 ///
 /// # Errors
-/// As [`read`]; `CutShort` where the frame is incomplete.
+/// As [`read`]; `Truncated` if the frame is incomplete.
 pub fn read_complete(bytes: &[u8], max_body_bytes: usize) -> Result<&[u8], FrameError> {
-    read(bytes, max_body_bytes)?.ok_or(FrameError::CutShort)
+    read(bytes, max_body_bytes)?.ok_or(FrameError::Truncated)
 }
--- a/src/registry/raft/log/durability.rs
+++ b/src/registry/raft/log/durability.rs
@@ -1,4 +1,4 @@
-//! Which entries of the log are durable: those that wait for their sync, and who waits for them.
+//! Which entries of the log are durable: the entries that wait for their sync, and the tasks that wait for them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -8,7 +8,7 @@
 /// An entry that is queued for the file and not known to be durable yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingEntry {
-    /// Its place in the order of all entries queued since the start, those truncated since included.
+    /// Its number among all entries queued since the start, including those truncated since.
     sequence: u64,
     queued_at: Instant,
 }
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 struct Pending {
     last_sequence: u64,
-    /// By index.
+    /// The entries by index.
     entries: BTreeMap<u64, PendingEntry>,
 }
 
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Durability {
     pending: Arc<Mutex<Pending>>,
-    /// The sequence up to which entries are durable.
+    /// The sequence number up to which entries are durable.
     synced: watch::Sender<u64>,
 }
 
@@ -39,8 +39,8 @@
         self.pending.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// The entries at these indexes are queued for the file; returns the place of the last one.
-    pub(super) fn queued(&self, indexes: impl IntoIterator<Item = u64>) -> u64 {
+    /// Records that the entries at these indexes are queued for the file; returns the sequence number of the last one.
+    pub(super) fn on_queued(&self, indexes: impl IntoIterator<Item = u64>) -> u64 {
         let mut pending = self.lock();
         let queued_at = Instant::now();
         for index in indexes {
@@ -51,18 +51,18 @@
         pending.last_sequence
     }
 
-    /// Entries from `index` on are void.
-    pub(super) fn truncated(&self, index: u64) {
+    /// Records that the entries from `index` on were removed.
+    pub(super) fn on_truncated(&self, index: u64) {
         self.lock().entries.split_off(&index);
     }
 
-    /// Entries up to this place are durable.
-    pub(super) fn synced(&self, sequence: u64) {
+    /// Records that the entries up to this sequence number are durable.
+    pub(super) fn on_synced(&self, sequence: u64) {
         self.lock().entries.retain(|_, entry| entry.sequence > sequence);
         self.synced.send_replace(sequence);
     }
 
-    /// The first entry that is not durable.
+    /// The index of the first entry that is not durable.
     pub(super) fn first_pending(&self) -> Option<u64> {
         self.lock().entries.first_key_value().map(|(index, _)| *index)
     }
@@ -77,13 +77,13 @@
         let mut synced = self.synced.subscribe();
         while !self.is_durable(index) {
             if synced.changed().await.is_err() {
-                // This holds a sender: it cannot be closed.
+                // Unreachable: `self` owns the sender, so the channel stays open.
                 std::future::pending::<()>().await;
             }
         }
     }
 
-    /// For how long the entry that waits longest has waited; zero where none does.
+    /// How long the oldest entry that waits for its sync has waited; zero if none does.
     pub(super) fn pending_for(&self) -> Duration {
         let pending = self.lock();
         let oldest = pending.entries.values().map(|entry| entry.queued_at).min();
--- a/src/registry/raft/log/mark.rs
+++ b/src/registry/raft/log/mark.rs
@@ -1,7 +1,8 @@
 //! The mark file, `raft.mark`: how much of the log is durable, written after each fsync of the log.
 //!
-//! A mark goes to one of two slots in turn, so that a kill which leaves one half written leaves the mark before it in the
-//! other. The file is not fsynced itself: it survives the process (SIGKILL), and after a power loss it is merely older.
+//! Marks are written to two slots in turn: if the process is killed in the middle of a write, the other slot still has
+//! the previous mark. The file itself is not fsynced: it survives the process (SIGKILL), and after a power loss it is
+//! merely older.
 
 use super::super::LogId;
 use super::super::disk_error::{Corruption, DiskError};
@@ -13,19 +14,19 @@
 
 /// The name of the mark file.
 const MARK_FILE: &str = "raft.mark";
-/// Bytes of each of the file's two slots.
+/// Size of each of the file's two slots, in bytes.
 const SLOT_BYTES: usize = 512;
 
-/// A length of one generation of the log file.
+/// A position in one generation of the log file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Position {
     /// How often the file had been rewritten.
     pub(super) generation: u64,
-    /// Bytes from the start of the file.
+    /// Bytes up to the position, from the start of the file.
     pub(super) length: u64,
 }
 
-/// How much of the log is durable, and the last commit known.
+/// How much of the log is durable, and the last known commit.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Mark {
     pub(super) durable: Position,
@@ -42,7 +43,7 @@
         Ok(bytes)
     }
 
-    /// Decodes the mark in one slot; `None` where nothing was written to it.
+    /// Decodes the mark in one slot; `None` if nothing was written to it.
     fn decode(slot: &[u8]) -> Result<Option<Self>, Corruption> {
         if slot.iter().all(|byte| *byte == 0) {
             return Ok(None);
@@ -58,17 +59,17 @@
     dir.join(MARK_FILE)
 }
 
-/// A mark that was read, and the slot that the next one goes to.
+/// A mark that was read, and the slot for the next one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct StoredMark {
     pub(super) mark: Mark,
     next_slot: usize,
 }
 
-/// Reads the newest mark in `dir`; an empty one where there is no file.
+/// Reads the newest mark in `dir`; an empty one if there is no file.
 ///
 /// # Errors
-/// `Io` where the file can't be read, `Corrupt` where no slot holds a mark that reads as written.
+/// `Io` if the file can't be read, `Corrupt` if no slot has an undamaged mark and one is damaged.
 pub(super) fn read(dir: &Path) -> Result<StoredMark, DiskError> {
     let path = path(dir);
     let bytes = match std::fs::read(&path) {
@@ -92,32 +93,32 @@
         }
         (Ok(Some(mark)), _) => Ok(StoredMark { mark, next_slot: 1 }),
         (_, Ok(Some(mark))) => Ok(StoredMark { mark, next_slot: 0 }),
-        // One was being written for the first time, or both are damaged.
+        // The first mark was being written, or both marks are damaged.
         (Err(reason), _) | (_, Err(reason)) => Err(reason),
     }
 }
 
-/// The file, open for writing.
+/// The mark file, open for writing.
 pub(super) struct MarkFile {
     file: File,
     next_slot: usize,
 }
 
 impl MarkFile {
-    /// Opens (or creates) the mark file in `dir`, which holds `stored`.
+    /// Opens (or creates) the mark file in `dir`, from which `stored` was read.
     ///
     /// # Errors
-    /// `Io` where it can't be opened.
+    /// `Io` if the file can't be opened.
     pub(super) fn open(dir: &Path, stored: StoredMark) -> Result<Self, DiskError> {
         let path = path(dir);
         let opened = OpenOptions::new().create(true).truncate(false).write(true).open(&path);
         Ok(Self { file: opened.map_err(DiskError::io(&path))?, next_slot: stored.next_slot })
     }
 
-    /// Writes `mark` to the slot that does not hold the last one.
+    /// Writes `mark` to the slot that does not contain the previous one.
     ///
     /// # Errors
-    /// The system's.
+    /// The mark can't be encoded or written.
     pub(super) fn write(&mut self, mark: Mark) -> io::Result<()> {
         let offset = (self.next_slot * SLOT_BYTES) as u64;
         self.file.write_all_at(&mark.encode()?, offset)?;
--- a/src/registry/raft/log/mod.rs
+++ b/src/registry/raft/log/mod.rs
@@ -1,25 +1,25 @@
 //! A node's Raft log and vote, in memory and, with a data directory, on disk.
 //!
 //! Files in the data directory:
-//! - `raft.log` (`record`): framed records in the order in which Raft made them. All that waits while one fsync runs is
-//!   written together by the next. When most of the file is dead (purged behind a snapshot or truncated), it is rewritten
-//!   under another name, fsynced and renamed, as the next generation.
-//! - `raft.mark` (`mark`): after each fsync, the log's generation and durable length, and the last commit known.
+//! - `raft.log` (`record`): framed records in the order in which Raft made them. Records queued while one fsync runs
+//!   are written together and made durable by the next one. When most records of the file are obsolete (purged after
+//!   a snapshot, or truncated), the log is rewritten under another name, fsynced and renamed, as the next generation.
+//! - `raft.mark` (`mark`): after each fsync, the log's generation and durable length, and the last known commit.
 //!
-//! `writer` owns both files, on a thread of its own, and rewrites the log after a disk error. `recovery` reads them
-//! at the start of the node. `state` is the log's content in memory, and `storage` implements Raft's storage traits.
+//! `writer` owns both files, on a separate thread, and rewrites the log after a disk error. `recovery` reads the files
+//! when the node starts. `state` is the log's content in memory, and `storage` implements Raft's storage traits.
 //!
 //! # When an entry is acknowledged
-//! Raft's core waits for each append that it makes, and takes no call meanwhile: no heartbeat, no vote, no other write.
-//! Where the cluster has several voters an append therefore ends once the entries are queued for the file, and every
-//! acknowledgement waits for the sync instead ([`Log::acknowledge`], by `durability`):
-//! - a follower answers the leader's call with what is durable in its own log;
-//! - the leader takes a follower's answer for no more than what is durable in its own log.
+//! Raft's core waits for each of its appends and processes no call meanwhile: no heartbeat, no vote, no other write. If
+//! the cluster has several voters, an append therefore ends once the entries are queued for the file, and every
+//! acknowledgement waits for the sync instead ([`Log::acknowledge`], with `durability`):
+//! - a follower acknowledges only entries that are durable in its own log;
+//! - the leader counts a follower's acknowledgement only for entries that are durable in the leader's own log.
 //!
-//! So an entry is committed, and applied, once it is durable on the leader and on as many followers as make a quorum with
-//! it. A leader that is restarted may have lost entries that it has sent under its term, and must not make others of the same
-//! places: it is not the leader any more ([`Log::prepare_replication`]). The log of a sole voter, whose own copy is the quorum, ends an
-//! append with the sync.
+//! So an entry is committed, and applied, once it is durable on the leader and on enough followers to form a quorum
+//! with it. A restarted leader may have lost entries that it sent in its term, and must not create other entries at
+//! the same positions: it is not the leader any more ([`Log::prepare_replication`]). In the log of a sole voter,
+//! whose own copy is the quorum, an append ends with the sync.
 
 mod acknowledgement;
 mod durability;
@@ -32,7 +32,7 @@
 
 use super::disk_error::DiskError;
 use super::election::ElectionGate;
-use super::{Entry, LogId, Members, Membership, NodeId, TypeConfig, Vote};
+use super::{Entry, LogId, Membership, NodeId, StoredMembership, TypeConfig, Vote};
 pub use acknowledgement::AppendRange;
 use durability::Durability;
 use openraft::EntryPayload;
@@ -50,30 +50,30 @@
 
 /// The name of the log file.
 const LOG_FILE: &str = "raft.log";
-/// Records in the file beyond twice those alive at which it is rewritten.
-const COMPACTION_SLACK: usize = 4_096;
+/// The file is rewritten once it has this many records more than twice the number of live entries.
+const COMPACTION_SLACK_RECORDS: usize = 4_096;
 
-/// What a start found on disk.
+/// What was found on disk when the log was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// Entries of the log that are alive.
+    /// Live entries of the log.
     pub entries: usize,
-    /// Bytes of an interrupted last record that were cut off.
+    /// Bytes of an incomplete last record that were cut off.
     pub torn_bytes: u64,
 }
 
 /// Who is notified once a write is durable.
 enum Completion {
-    /// Those who wait for appended entries, and Raft where the append ends with the sync.
+    /// The tasks that wait for appended entries, and Raft if the append ends with the sync.
     Entries {
         durability: Durability,
-        /// The last one's place among all entries queued.
+        /// The last entry's number among all entries queued.
         last_sequence: u64,
         raft: Option<LogFlushed<TypeConfig>>,
     },
-    /// A task that waits.
+    /// A waiting task.
     Waiter(oneshot::Sender<io::Result<()>>),
-    /// Nobody.
+    /// No one is notified.
     None,
 }
 
@@ -82,39 +82,39 @@
         match self {
             Self::Entries { durability, last_sequence, raft } => {
                 if result.is_ok() {
-                    durability.synced(last_sequence);
+                    durability.on_synced(last_sequence);
                 }
                 if let Some(callback) = raft {
                     callback.log_io_completed(result);
                 }
             }
-            // The task that waited may have been dropped.
+            // The waiting task may have been dropped.
             Self::Waiter(waiter) => drop(waiter.send(result)),
             Self::None => {}
         }
     }
 }
 
-/// Whose log it is.
+/// The identity of a log.
 #[derive(Clone, Copy)]
 struct Owner {
     node: NodeId,
-    /// A random number, drawn when the log was first made.
+    /// A random number, drawn when the log was first created.
     incarnation: u64,
 }
 
-/// The log: one owner of its state, shared by Raft's core and its readers.
+/// The log. Raft's core and its readers have clones, which share the state.
 #[derive(Clone)]
 pub struct Log {
     state: Arc<Mutex<PersistedState>>,
-    /// To the writer thread; `None` where the log is in memory only.
+    /// The queue of the writer thread; `None` if the log is in memory only.
     jobs: Option<Sender<Job>>,
     owner: Owner,
     durability: Durability,
     elections: ElectionGate,
     /// Whether this node has peers.
     is_replicated: Arc<AtomicBool>,
-    /// Whether the cluster has several voters, as the latest membership says that this log was told of.
+    /// Whether the cluster has several voters, according to the latest membership that this log knows.
     has_several_voters: Arc<AtomicBool>,
 }
 
@@ -122,8 +122,8 @@
     state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// The members that an entry sets, if it does.
-fn membership_of(entry: &Entry) -> Option<&Members> {
+/// The membership that an entry sets, if any.
+fn membership_of(entry: &Entry) -> Option<&Membership> {
     match &entry.payload {
         EntryPayload::Membership(members) => Some(members),
         EntryPayload::Blank | EntryPayload::Normal(_) => None,
@@ -131,11 +131,11 @@
 }
 
 fn writer_ended() -> io::Error {
-    io::Error::other("the log's writer has ended")
+    io::Error::other("the log's writer thread has ended")
 }
 
 impl Log {
-    /// Makes a log in memory only, for a node without peers.
+    /// Creates a log in memory only, for a node without peers.
     pub fn in_memory(node: NodeId) -> Self {
         Self::new(Arc::default(), None, Owner { node, incarnation: 0 })
     }
@@ -155,31 +155,32 @@
     /// Opens (or creates) the log of `node` in `dir`.
     ///
     /// # Errors
-    /// `Io` where a file can't be read or made, `Corrupt` where one does not read as written or is short of what was
-    /// acknowledged, `OtherNode` or `BeforeReplication` where the directory is not this node's.
+    /// `Io` if a file can't be read or created, `Corrupt` if one is damaged or lacks data that was
+    /// acknowledged, `OtherNode` or `UnreplicatedFormat` if the directory belongs to another node or to a version
+    /// without replication.
     pub fn open(dir: &Path, node: NodeId) -> Result<(Self, Recovery), DiskError> {
         recovery::open(dir, node)
     }
 
-    /// The random number drawn when the log was first made: it tells a log from a later one in its place.
+    /// The random number drawn when the log was first created: it distinguishes a log from a later one in its place.
     pub fn incarnation(&self) -> u64 {
         self.owner.incarnation
     }
 
-    /// Whether the node may stand for election, which depends on how long its votes take to be durable.
+    /// Controls whether the node may stand for election, which depends on how long its votes take to become durable.
     pub fn elections(&self) -> &ElectionGate {
         &self.elections
     }
 
-    /// Whether nothing has ever been written to it: no entry, no vote, nothing purged.
+    /// Whether nothing has ever been written to the log: no entry, no vote, nothing purged.
     pub fn is_new(&self) -> bool {
         let state = lock(&self.state);
         state.last_log_id().is_none() && state.vote.is_none()
     }
 
-    /// Prepares the log of a node with peers, before Raft reads it: the node does not lead by a vote from before its start,
-    /// and its members are those of the latest entry on them, or else of the snapshot.
-    pub fn prepare_replication(&self, in_snapshot: &Membership) {
+    /// Prepares the log of a node with peers before Raft reads it: the node does not lead by a vote from before its
+    /// start, and its membership is that of the latest membership entry, or else of the snapshot.
+    pub fn prepare_replication(&self, in_snapshot: &StoredMembership) {
         self.is_replicated.store(true, Ordering::SeqCst);
         let mut state = lock(&self.state);
         state.vote = state.vote.map(|vote| self.vote_to_store(vote));
@@ -187,8 +188,8 @@
         self.set_membership(in_log.unwrap_or(in_snapshot.membership()));
     }
 
-    /// A vote as it is stored: a node with peers never leads by its own vote after a restart, whichever build it restarts
-    /// with, as it may have lost entries that it sent while it led.
+    /// A vote as it is stored: a node with peers never leads by its own vote after a restart, whichever build it
+    /// restarts with, because it may have lost entries that it sent while it was the leader.
     fn vote_to_store(&self, mut vote: Vote) -> Vote {
         if self.is_replicated.load(Ordering::SeqCst) && vote.leader_id.node_id == self.owner.node {
             vote.committed = false;
@@ -196,20 +197,20 @@
         vote
     }
 
-    /// Takes in which members vote from here on: with several, an append does not wait for its sync.
-    fn set_membership(&self, membership: &Members) {
-        // In a joint configuration each part needs a quorum of its own.
+    /// Records which members vote from now on: with several voters, an append does not wait for its sync.
+    fn set_membership(&self, membership: &Membership) {
+        // In a joint configuration each part needs its own quorum.
         let parts = membership.get_joint_config();
         let has_several = !parts.is_empty() && parts.iter().all(|voters| voters.len() > 1);
         self.has_several_voters.store(has_several && self.jobs.is_some(), Ordering::SeqCst);
     }
 
-    /// For how long the entry that waits longest for its sync has waited.
+    /// How long the oldest entry that waits for its sync has waited.
     pub fn sync_pending_for(&self) -> Duration {
         self.durability.pending_for()
     }
 
-    /// The last entry that is in the snapshot only.
+    /// The last entry purged from the log.
     pub fn purged(&self) -> Option<LogId> {
         lock(&self.state).purged
     }
@@ -220,8 +221,8 @@
         for record in &records {
             record.append_to(&mut bytes)?;
         }
-        // Queued under the lock: the writer holds it to rewrite the log, and then finds in the queue everything that is
-        // in the state.
+        // Queued under the lock: the writer locks the state to rewrite the log, and must then find in the queue every
+        // record that was applied to the state.
         let mut state = lock(&self.state);
         for record in records {
             state.apply(record).map_err(io::Error::other)?;
@@ -247,10 +248,10 @@
         jobs.send(job).map_err(|_| writer_ended())
     }
 
-    /// Has the file rewritten where most of it is dead.
+    /// Queues a rewrite of the file if most of its records are obsolete.
     fn compact(&self) -> io::Result<()> {
         let mut state = lock(&self.state);
-        if self.jobs.is_none() || state.record_count < 2 * state.entries.len() + COMPACTION_SLACK {
+        if self.jobs.is_none() || state.record_count < 2 * state.entries.len() + COMPACTION_SLACK_RECORDS {
             return Ok(());
         }
         state.generation += 1;
--- a/src/registry/raft/log/recovery.rs
+++ b/src/registry/raft/log/recovery.rs
@@ -1,10 +1,10 @@
-//! Reads the log at the start of the node.
+//! Reads the log when the node starts.
 //!
-//! A record that is cut short at the very end, *behind the mark*, is a write that was never acknowledged: it is cut off
-//! and reported. Anything else that does not read as written stops the start, naming the file and the byte: a bad
-//! checksum, a log shorter than the mark says, a log of an older generation than the mark's, entries whose indexes do not
-//! follow one another. This detects a log that was cut at the end of a record, which a checksum alone cannot, so a node
-//! that lost acknowledged entries or its vote never takes part in a quorum.
+//! An incomplete record at the very end, *beyond the length in the mark*, is a write that was never acknowledged: it
+//! is cut off and reported. Any other damage stops the start with an error that names the file and the byte: a wrong
+//! checksum, a log shorter than the mark says, a log of an older generation than the mark's, entries whose indexes
+//! are not consecutive. This also detects a log that was cut at the end of a record, which a checksum alone cannot,
+//! so a node that lost acknowledged entries or its vote never takes part in a quorum.
 
 use super::super::NodeId;
 use super::super::disk_error::{Corruption, DiskError};
@@ -20,18 +20,18 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-/// The log of a version without replication.
+/// The log file of a version without replication.
 const UNREPLICATED_LOG_FILE: &str = "commands.log";
 
-/// A log file as it was read.
+/// The contents of a log file.
 #[derive(Default)]
 struct LogContents {
     state: PersistedState,
-    /// Who wrote it; `None` where the file holds no record.
+    /// The log's identity; `None` if the file has no complete record.
     owner: Option<Owner>,
     /// Bytes up to the end of the last complete record.
     length: usize,
-    /// Bytes of an incomplete record behind that.
+    /// Bytes of an incomplete record after that.
     torn_bytes: u64,
 }
 
@@ -40,7 +40,7 @@
     std::fs::create_dir_all(dir).map_err(DiskError::io(dir))?;
     let path = dir.join(LOG_FILE);
     if dir.join(UNREPLICATED_LOG_FILE).exists() && !path.exists() {
-        return Err(DiskError::BeforeReplication { path: dir.into() });
+        return Err(DiskError::UnreplicatedFormat { path: dir.into() });
     }
     let bytes = match std::fs::read(&path) {
         Ok(bytes) => bytes,
@@ -70,11 +70,11 @@
     {
         let record = serde_json::from_slice(body).map_err(|error| corrupt(offset, error.into()))?;
         match (record, contents.owner) {
-            (Record::Head { node, incarnation, generation }, None) => {
+            (Record::Header { node, incarnation, generation }, None) => {
                 contents.owner = Some(Owner { node, incarnation });
                 contents.state.generation = generation;
             }
-            (_, None) => return Err(corrupt(0, Corruption::MissingHead)),
+            (_, None) => return Err(corrupt(0, Corruption::MissingHeader)),
             (record, Some(_)) => contents.state.apply(record).map_err(|reason| corrupt(offset, reason))?,
         }
         contents.state.record_count += 1;
@@ -85,11 +85,11 @@
     Ok(contents)
 }
 
-/// Checks that the log holds all that the mark says was durable.
+/// Checks that the log contains everything that is durable according to the mark.
 fn check_against_mark(path: &Path, contents: &LogContents, durable: Position) -> Result<(), DiskError> {
     let generation = contents.state.generation;
-    // A mark of an older generation was left by a crash between two steps. With one of a newer generation, an older log
-    // has been put in this one's place.
+    // A mark of an older generation is left by a crash between replacing the log and writing the mark. If the mark's
+    // generation is newer, the log has been replaced by an older one.
     let durable_length = if durable.generation == generation { durable.length } else { 0 };
     if durable.generation <= generation && durable_length <= contents.length as u64 {
         return Ok(());
@@ -102,7 +102,7 @@
     Err(DiskError::Corrupt { path: path.into(), offset: contents.length as u64, reason })
 }
 
-/// Brings the files to a clean state and starts their writer.
+/// Creates or repairs the files and starts their writer.
 fn start(
     dir: &Path,
     node: NodeId,
@@ -111,7 +111,7 @@
 ) -> Result<(Log, Recovery), DiskError> {
     let path = dir.join(LOG_FILE);
     let LogContents { mut state, owner, mut length, torn_bytes } = contents;
-    // What was committed is in the log up to its end at least, unless a power loss made the mark an older one.
+    // The commit in the mark is limited to the end of the log; after a power loss, the mark may be an older one.
     state.committed = stored_mark.mark.committed.min(state.last_log_id());
     let recovery = Recovery { entries: state.entries.len(), torn_bytes };
     let is_first_start = owner.is_none();
--- a/src/registry/raft/log/state.rs
+++ b/src/registry/raft/log/state.rs
@@ -1,4 +1,4 @@
-//! What the log holds, in memory: the content of the log file once its records are applied in order.
+//! The log's content in memory: the result of applying the records of the log file in order.
 
 use super::super::disk_error::Corruption;
 use super::super::{Entry, LogId, Vote};
@@ -7,18 +7,18 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// Records of a rewritten log beside its entries: the head, the vote and the purge.
-const RECORDS_BESIDE_ENTRIES: usize = 3;
+/// Records of a rewritten log besides its entries: the header, the vote and the purge.
+const NON_ENTRY_RECORDS: usize = 3;
 
-/// The log's content, as the file holds it once all queued writes are done.
+/// The log's content, equal to that of the file once all queued writes are done.
 #[derive(Default)]
 pub(super) struct PersistedState {
     pub(super) vote: Option<Vote>,
     pub(super) entries: BTreeMap<u64, Entry>,
-    /// The last entry that is in the snapshot only.
+    /// The last entry purged from the log.
     pub(super) purged: Option<LogId>,
     pub(super) committed: Option<LogId>,
-    /// Records in the file, dead ones included.
+    /// Records in the file, including obsolete ones.
     pub(super) record_count: usize,
     /// How often the file was rewritten.
     pub(super) generation: u64,
@@ -28,10 +28,11 @@
     /// Applies one record, in the order of the file.
     ///
     /// # Errors
-    /// `SecondHead` for a head, `EntryGap` for an entry that does not follow the last one; nothing has changed then.
+    /// `DuplicateHeader` for a header, `EntryGap` for an entry that does not follow the last one; the state
+    /// is unchanged then.
     pub(super) fn apply(&mut self, record: Record) -> Result<(), Corruption> {
         match record {
-            Record::Head { .. } => return Err(Corruption::SecondHead),
+            Record::Header { .. } => return Err(Corruption::DuplicateHeader),
             Record::Vote(vote) => self.vote = Some(vote),
             Record::Truncate(from) => drop(self.entries.split_off(&from)),
             Record::Purge(last) => {
@@ -49,7 +50,7 @@
         Ok(())
     }
 
-    /// The index that the next entry must have; `None` where the log is empty and nothing is purged.
+    /// The index that the next entry must have; `None` if the log is empty and nothing is purged.
     fn next_index(&self) -> Option<u64> {
         self.last_log_id().map(|last| last.index + 1)
     }
@@ -65,7 +66,7 @@
     /// As [`Record::append_to`].
     pub(super) fn encode(&mut self, Owner { node, incarnation }: Owner) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
-        Record::Head { node, incarnation, generation: self.generation }.append_to(&mut bytes)?;
+        Record::Header { node, incarnation, generation: self.generation }.append_to(&mut bytes)?;
         if let Some(vote) = self.vote {
             Record::Vote(vote).append_to(&mut bytes)?;
         }
@@ -75,7 +76,7 @@
         for entry in self.entries.values() {
             Record::Entry(entry.clone()).append_to(&mut bytes)?;
         }
-        self.record_count = self.entries.len() + RECORDS_BESIDE_ENTRIES;
+        self.record_count = self.entries.len() + NON_ENTRY_RECORDS;
         Ok(bytes)
     }
 }
--- a/src/registry/raft/log/storage.rs
+++ b/src/registry/raft/log/storage.rs
@@ -33,17 +33,17 @@
 
     async fn save_vote(&mut self, vote: &Vote) -> Result<(), StorageError> {
         let stored = self.vote_to_store(*vote);
-        let known = lock(&self.state).vote;
-        if known.is_some_and(|known| known.leader_id == stored.leader_id) {
-            // Whom this node voted for is durable already; that a quorum did so too need not be.
+        let saved = lock(&self.state).vote;
+        if saved.is_some_and(|saved| saved.leader_id == stored.leader_id) {
+            // This node's own vote is durable already; whether a quorum granted it need not be.
             let written = self.write(vec![Record::Vote(stored)], Completion::None);
             return Ok(written.map_err(|e| StorageIOError::write_vote(&e))?);
         }
-        let number = self.elections.vote_cast();
+        let number = self.elections.on_vote_cast();
         let started_at = Instant::now();
         self.write_durably(Record::Vote(stored)).await.map_err(|e| StorageIOError::write_vote(&e))?;
         let elapsed = started_at.elapsed();
-        self.elections.vote_durable(number, elapsed);
+        self.elections.on_vote_durable(number, elapsed);
         let (term, voted_for, elapsed_ms) =
             (vote.leader_id.term, vote.leader_id.node_id, elapsed.as_millis() as u64);
         tracing::info!(node = self.owner.node, term, voted_for, elapsed_ms, "vote made durable");
@@ -74,24 +74,24 @@
         let entries: Vec<Entry> = entries.into_iter().collect();
         let membership = entries.iter().rev().find_map(membership_of);
         membership.into_iter().for_each(|membership| self.set_membership(membership));
-        // With several voters Raft goes on at once, and acknowledgements wait for the sync.
-        let (at_once, with_sync) = match self.has_several_voters.load(Ordering::SeqCst) {
+        // With several voters Raft continues at once, and acknowledgements wait for the sync.
+        let (immediate_callback, sync_callback) = match self.has_several_voters.load(Ordering::SeqCst) {
             true => (Some(callback), None),
             false => (None, Some(callback)),
         };
         let durability = self.durability.clone();
-        let last_sequence = durability.queued(entries.iter().map(|entry| entry.log_id.index));
+        let last_sequence = durability.on_queued(entries.iter().map(|entry| entry.log_id.index));
         let records = entries.into_iter().map(Record::Entry).collect();
-        let completion = Completion::Entries { durability, last_sequence, raft: with_sync };
+        let completion = Completion::Entries { durability, last_sequence, raft: sync_callback };
         self.write(records, completion).map_err(|e| StorageIOError::write_logs(&e))?;
-        if let Some(callback) = at_once {
+        if let Some(callback) = immediate_callback {
             callback.log_io_completed(Ok(()));
         }
         Ok(())
     }
 
     async fn truncate(&mut self, log_id: LogId) -> Result<(), StorageError> {
-        self.durability.truncated(log_id.index);
+        self.durability.on_truncated(log_id.index);
         let written = self.write_durably(Record::Truncate(log_id.index)).await;
         Ok(written.map_err(|e| StorageIOError::write_logs(&e))?)
     }
--- a/src/registry/raft/log/writer.rs
+++ b/src/registry/raft/log/writer.rs
@@ -1,8 +1,8 @@
 //! The thread that owns the log's files.
 //!
-//! A write or an fsync that fails is not repeated on the same file, as the kernel may have dropped what it could not
-//! write. The whole log is rewritten from memory instead, until that succeeds. Whoever waits for entries to be durable
-//! waits meanwhile, and the node continues by itself once its disk does.
+//! A failed write or fsync is not repeated on the same file, because the kernel may have dropped the data that it could
+//! not write. The whole log is rewritten from memory instead, until that succeeds. Tasks that wait for entries to be
+//! durable keep waiting meanwhile, and the node continues by itself once its disk works again.
 
 use super::super::LogId;
 use super::mark::{Mark, MarkFile, Position};
@@ -17,18 +17,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The wait before a failed rewrite of the log is tried again.
+/// How long to wait before a failed rewrite of the log is tried again.
 const REWRITE_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Jobs beyond the first that are written with one fsync at most.
-const MAX_JOBS_PER_SYNC: usize = 1_024;
+/// The maximum number of jobs, in addition to the first, that are written with one fsync.
+const MAX_ADDITIONAL_JOBS_PER_SYNC: usize = 1_024;
 
-/// What the writer is asked to do, in the order of the calls.
+/// A job of the writer; jobs are done in the order in which they were queued.
 pub(super) enum Job {
-    /// Append framed records, and notify once they are durable.
+    /// Appends framed records, and notifies once they are durable.
     Write(Vec<u8>, Completion),
-    /// Replace the file by these contents, as this generation.
+    /// Replaces the file by these contents, as this generation.
     Rewrite(Vec<u8>, u64),
-    /// Record the last commit known in the next mark.
+    /// Records the last known commit in the next mark.
     Committed(LogId),
 }
 
@@ -37,7 +37,7 @@
     pub(super) dir: PathBuf,
     pub(super) log_file: File,
     pub(super) mark_file: MarkFile,
-    /// What the log file holds durably.
+    /// How much of the log file is durable, and the last known commit.
     pub(super) mark: Mark,
 }
 
@@ -52,20 +52,19 @@
         self.write_mark()
     }
 
-    /// Replaces the log by `contents`, as another generation, and writes the mark.
+    /// Replaces the log by `contents`, as `generation`, and writes the mark.
     fn rewrite(&mut self, contents: &[u8], generation: u64) -> io::Result<()> {
         self.log_file = files::replace(&self.dir, LOG_FILE, contents)?;
         self.mark.durable = Position { generation, length: contents.len() as u64 };
         self.write_mark()
     }
 
-    /// Writes the mark.
     pub(super) fn write_mark(&mut self) -> io::Result<()> {
         self.mark_file.write(self.mark)
     }
 }
 
-/// The writer thread's part of the log.
+/// The state of the writer thread.
 pub(super) struct Writer {
     files: LogFiles,
     jobs: Receiver<Job>,
@@ -82,11 +81,11 @@
         sender
     }
 
-    /// Writes what is queued, as much as there is at a time with one fsync, until the log is dropped.
+    /// Writes the queued jobs, as many as allowed with one fsync, until the log is dropped.
     fn run(&mut self) {
         while let Ok(first) = self.jobs.recv() {
             let mut batch = vec![first];
-            batch.extend(self.jobs.try_iter().take(MAX_JOBS_PER_SYNC));
+            batch.extend(self.jobs.try_iter().take(MAX_ADDITIONAL_JOBS_PER_SYNC));
             let mut completions = Vec::new();
             if let Err(error) = self.write_batch(batch, &mut completions) {
                 self.rewrite_until_durable(&mut completions, &error);
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Writes a batch of jobs with one fsync; `completions` gets who is to be notified, also where a write fails.
+    /// Writes a batch of jobs with one fsync, and adds their completions to `completions`, even if a write fails.
     fn write_batch(&mut self, batch: Vec<Job>, completions: &mut Vec<Completion>) -> io::Result<()> {
         let mut unwritten = Vec::new();
         let mut result = Ok(());
@@ -106,7 +105,7 @@
                     completions.push(completion);
                 }
                 Job::Rewrite(contents, generation) => {
-                    // What was queued before is in the new contents, and becomes durable with them.
+                    // The records queued before are part of the new contents, and become durable with them.
                     unwritten.clear();
                     result = result.and_then(|()| self.files.rewrite(&contents, generation));
                 }
@@ -116,11 +115,11 @@
         result.and_then(|()| self.files.append(&unwritten))
     }
 
-    /// Rewrites the whole log from memory until that succeeds, or nobody has the log any more. Everything that is queued
-    /// meanwhile is part of it, and is notified with the rest.
+    /// Rewrites the whole log from memory until that succeeds or the log is dropped. Records that are queued
+    /// meanwhile are part of it, and their completions are added to `completions`.
     fn rewrite_until_durable(&mut self, completions: &mut Vec<Completion>, cause: &io::Error) {
         let dir = self.files.dir.clone();
-        tracing::error!(error = %cause, dir = %dir.display(), "writing the log failed; rewriting it");
+        tracing::error!(error = %cause, dir = %dir.display(), "writing the log failed; rewriting it from memory");
         while Arc::strong_count(&self.state) > 1 {
             let (contents, generation) = self.encode_state(completions);
             match contents.and_then(|contents| self.files.rewrite(&contents, generation)) {
@@ -134,7 +133,7 @@
         }
     }
 
-    /// Empties the queue and encodes the state, which holds everything that was queued, as the next generation.
+    /// Empties the queue and encodes the state, which includes every queued record, as the next generation.
     fn encode_state(&mut self, completions: &mut Vec<Completion>) -> (io::Result<Vec<u8>>, u64) {
         let state = self.state.clone();
         let mut state = lock(&state);
--- a/src/registry/raft/mod.rs
+++ b/src/registry/raft/mod.rs
@@ -1,11 +1,11 @@
-//! The list service's replication, on the `openraft` crate:
+//! Replication of the list service, based on the `openraft` crate:
 //!
 //! - [`log`]: the log and the vote, on disk.
 //! - [`state_machine`]: the store that the log is applied to, and its snapshots (`snapshot`).
 //! - [`network`]: the calls between nodes.
 //! - [`election`]: when a node may stand for election.
-//! - [`quorum_lease`]: what a leader knows of its own leadership.
-//! - [`disk_error`] and `frame`: what the files on disk have in common.
+//! - [`quorum_lease`]: until when a leader can rely on its leadership.
+//! - [`disk_error`] and `frame`: the errors and the frame format of the files on disk.
 
 pub mod disk_error;
 pub mod election;
@@ -27,17 +27,18 @@
 /// The result of a command that was applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Applied {
-    /// The store's revision after it.
+    /// The store's revision after the command.
     pub revision: u64,
-    /// For an acquire, the fencing token granted.
+    /// The fencing token that an acquire command was granted.
     pub token: Option<u64>,
     /// The outcome of a change of the agreement.
-    pub done: CommandOutcome,
+    #[serde(rename = "done")]
+    pub outcome: CommandOutcome,
 }
 
 openraft::declare_raft_types!(
-    /// The list service's types: its commands, their results, and nodes known by number (their addresses are in each
-    /// node's own configuration).
+    /// The list service's types: its commands, their results, and nodes identified by number (their addresses are in
+    /// each node's own configuration).
     pub TypeConfig:
         D = Command,
         R = Result<Applied, StoreError>,
@@ -51,13 +52,13 @@
 pub type Raft = openraft::Raft<TypeConfig>;
 /// One entry of the log.
 pub type Entry = openraft::Entry<TypeConfig>;
-/// A vote as saved and sent.
+/// A vote as it is stored and sent.
 pub type Vote = openraft::Vote<NodeId>;
-/// An entry's place in the log.
+/// An entry's position in the log.
 pub type LogId = openraft::LogId<NodeId>;
 /// The cluster's members.
-pub type Members = openraft::Membership<NodeId, openraft::EmptyNode>;
-/// The cluster's members as stored, with the place in the log that set them.
-pub type Membership = openraft::StoredMembership<NodeId, openraft::EmptyNode>;
-/// What storage calls fail with.
+pub type Membership = openraft::Membership<NodeId, openraft::EmptyNode>;
+/// The cluster's members as stored, with the log position that set them.
+pub type StoredMembership = openraft::StoredMembership<NodeId, openraft::EmptyNode>;
+/// The error of storage calls.
 pub type StorageError = openraft::StorageError<NodeId>;
--- a/src/registry/raft/network.rs
+++ b/src/registry/raft/network.rs
@@ -1,5 +1,5 @@
-//! Calls between list-service nodes: Raft's requests as JSON by `POST /raft/…` over HTTP/1.1, on the port that serves the
-//! API.
+//! Calls between list-service nodes: Raft's requests, sent as JSON with `POST /raft/…` over HTTP/1.1 to the port that
+//! serves the API.
 
 use super::log::{AppendRange, Log};
 use super::quorum_lease::QuorumLease;
@@ -22,31 +22,31 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The most bytes of a call's body between nodes: 300 entries, or a chunk of a snapshot as JSON numbers.
+/// The maximum body of a call between nodes, in bytes: 300 entries, or a chunk of a snapshot as JSON numbers.
 pub const MAX_BODY_BYTES: usize = 8 << 20;
-/// Bytes of a snapshot sent in one call; as JSON they are about four times as many.
+/// Bytes of a snapshot sent in one call; as JSON they take about four times as many.
 pub const SNAPSHOT_CHUNK_BYTES: u64 = 256 << 10;
-/// The wait before a peer that could not be reached is called again.
+/// How long to wait before calling an unreachable peer again.
 const PEER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How a node acknowledges appended entries: by what is durable in its log.
+/// A node's log, with the limits for acknowledging only those appended entries that are durable in it.
 #[derive(Clone)]
 pub struct DurableLog {
     /// The node's log.
     pub log: Log,
-    /// How long an acknowledgement waits for a sync before it covers what is durable by then.
-    pub patience: Duration,
-    /// A leader whose log waits longer for a sync calls no other node, so that another leads.
+    /// How long an acknowledgement of all entries waits for a sync; after that it covers the entries that are durable.
+    pub full_ack_timeout: Duration,
+    /// A leader whose log waits longer than this for a sync does not call other nodes, so that another node is elected.
     pub max_leader_stall: Duration,
 }
 
-/// Makes the clients by which one node's Raft calls the other nodes.
+/// Creates the clients with which one node's Raft calls the other nodes.
 pub struct Network {
-    /// The address of each other node, as this one reaches it.
+    /// The address at which this node reaches each other node.
     pub peers: Arc<BTreeMap<NodeId, SocketAddr>>,
     /// This node.
     pub node: NodeId,
-    /// Records which calls of this node as the leader others have acknowledged.
+    /// Records which calls that this node sent as the leader have been acknowledged.
     pub quorum_lease: QuorumLease,
     /// This node's log.
     pub durable_log: DurableLog,
@@ -70,13 +70,13 @@
 pub struct PeerClient {
     node: NodeId,
     target: NodeId,
-    /// `None` where the configuration does not name the node.
+    /// `None` if the configuration does not name the node.
     client: Option<HttpClient>,
     quorum_lease: QuorumLease,
     durable_log: DurableLog,
 }
 
-/// Why one of Raft's calls failed; `E` is what the other node may answer.
+/// Why one of Raft's calls failed; `E` is the error with which the other node may answer.
 type CallFailure<E> = RPCError<NodeId, EmptyNode, RaftError<NodeId, E>>;
 
 fn unreachable<E: std::error::Error>(error: CallError) -> CallFailure<E> {
@@ -121,14 +121,14 @@
         request: AppendEntriesRequest<TypeConfig>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<NodeId>, CallFailure<Infallible>> {
-        let DurableLog { log, patience, max_leader_stall } = self.durable_log.clone();
+        let DurableLog { log, full_ack_timeout, max_leader_stall } = self.durable_log.clone();
         if log.sync_pending_for() > max_leader_stall {
             return Err(unreachable(CallError::Timeout));
         }
         let (term, sent_at) = (request.vote.leader_id().term, Instant::now());
         let reply = self.call(RPCTypes::AppendEntries, "/raft/append", &request, &option).await?;
         if !matches!(reply, AppendEntriesResponse::HigherVote(_)) {
-            self.quorum_lease.acknowledge(self.target, term, sent_at);
+            self.quorum_lease.record_acknowledgement(self.target, term, sent_at);
         }
         let acknowledged = match reply {
             AppendEntriesResponse::Success => AppendRange::of(&request),
@@ -137,7 +137,7 @@
             }
             AppendEntriesResponse::Conflict | AppendEntriesResponse::HigherVote(_) => return Ok(reply),
         };
-        match (log.acknowledge(acknowledged, patience).await, reply) {
+        match (log.acknowledge(acknowledged, full_ack_timeout).await, reply) {
             (Some(AppendEntriesResponse::Success), reply) => Ok(reply),
             (Some(partial), _) => Ok(partial),
             (None, _) => Err(unreachable(CallError::Timeout)),
@@ -165,11 +165,11 @@
     }
 }
 
-/// Handles a call of another node's Raft, by the last part of its path; returns the body of the reply.
+/// Handles a call from another node's Raft and returns the body of the reply; `call` is the last part of its path.
 ///
 /// # Errors
-/// `Json` where the body is not a request of that call, `Status` where there is no such call, `Timeout` where the entries
-/// could not be made durable.
+/// `Json` if the body is not a request of that call, `Status` if there is no such call, `Timeout` if the
+/// entries could not be made durable.
 pub async fn handle_call(
     raft: &Raft,
     durable_log: &DurableLog,
@@ -182,7 +182,7 @@
             let range = AppendRange::of(&request);
             let reply = match raft.append_entries(request).await {
                 Ok(AppendEntriesResponse::Success) => {
-                    let acknowledged = durable_log.log.acknowledge(range, durable_log.patience).await;
+                    let acknowledged = durable_log.log.acknowledge(range, durable_log.full_ack_timeout).await;
                     Ok(acknowledged.ok_or(CallError::Timeout)?)
                 }
                 reply => reply,
--- a/src/registry/raft/quorum_lease.rs
+++ b/src/registry/raft/quorum_lease.rs
@@ -1,11 +1,12 @@
-//! The leader's quorum lease: until when no other node can have been elected.
+//! The leader's quorum lease: the time before which no other node can have been elected.
 //!
-//! A node that has taken a leader's call at `t` neither votes for another nor stands for election until `t` and the
-//! longest election timeout have passed by its own clock (`openraft` calls that the leader lease). A call that a leader
-//! sent at `s` and that was answered was taken at `t >= s`. So once a quorum, itself included, has taken calls that it
-//! sent at `s` or later, no other quorum can elect anybody before `s` and that timeout, with an allowance for the drift
-//! of both clocks. A restarted node has forgotten when it last had contact with a leader: it votes and stands only once
-//! the timeout has passed since its start ([`crate::registry::node::Node::bootstrap`]).
+//! A node that accepted a leader's call at `t` neither votes for another node nor stands for election until the
+//! longest election timeout has passed since `t` by its own clock (`openraft` calls this the leader lease). A call
+//! that a leader sent at `s` and that was answered was accepted at `t >= s`. So once a quorum, including the leader
+//! itself, has accepted calls that the leader sent at `s` or later, no other quorum can elect another node before
+//! that timeout has passed since `s`, with an allowance for the drift of both clocks. A restarted node does not know
+//! when it last had contact with a leader: it votes and stands for election only once the timeout has passed since
+//! its start ([`crate::registry::node::Node::bootstrap`]).
 //!
 //! Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014), section 6.4.1.
 
@@ -15,7 +16,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The latest call of this node as the leader that another node has acknowledged.
+/// The latest call that this node sent as the leader and another node acknowledged.
 #[derive(Clone, Copy, Debug)]
 struct Acknowledgement {
     term: u64,
@@ -23,21 +24,22 @@
     sent_at: Instant,
 }
 
-/// What the other nodes have acknowledged, shared between the calls to them and who asks.
+/// The latest acknowledgement of each other node; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct QuorumLease {
     acknowledgements: Arc<Mutex<BTreeMap<NodeId, Acknowledgement>>>,
 }
 
-/// For how long a call that a quorum has taken prevents the election of others, counted from its sending by the leader's
-/// clock. `election_timeout` is the longest that nodes wait before they stand for election.
+/// How long a call that a quorum has accepted prevents the election of another node, counted from when the leader
+/// sent it, by the leader's clock. `election_timeout` is the longest time that nodes wait before they stand for
+/// election.
 pub fn lease_duration(election_timeout: Duration) -> Duration {
     election_timeout.mul_f64(1.0 - MAX_CLOCK_DRIFT).saturating_sub(SAFETY_MARGIN)
 }
 
 impl QuorumLease {
-    /// Records that `node` has taken a call which this one sent at `sent_at` as the leader of `term`.
-    pub fn acknowledge(&self, node: NodeId, term: u64, sent_at: Instant) {
+    /// Records that `node` has accepted a call that this node sent at `sent_at` as the leader of `term`.
+    pub fn record_acknowledgement(&self, node: NodeId, term: u64, sent_at: Instant) {
         let mut acknowledgements = self.lock();
         let latest = acknowledgements.entry(node).or_insert(Acknowledgement { term, sent_at });
         if (term, sent_at) > (latest.term, latest.sent_at) {
@@ -45,9 +47,9 @@
         }
     }
 
-    /// Whether the leader of `term`, `this` of `members`, knows at `now` that no other leads; `election_timeout` as for
-    /// [`lease_duration`].
-    pub fn holds(
+    /// Whether `this` node of `members`, as the leader of `term`, knows at `now` that no other node leads;
+    /// `election_timeout` is as for [`lease_duration`].
+    pub fn is_valid(
         &self,
         this: NodeId,
         term: u64,
@@ -57,12 +59,12 @@
     ) -> bool {
         let acknowledgements = self.lock();
         let lease = lease_duration(election_timeout);
-        let is_valid = |node: &NodeId| {
+        let is_recent = |node: &NodeId| {
             acknowledgements
                 .get(node)
                 .is_some_and(|latest| latest.term == term && now.duration_since(latest.sent_at) < lease)
         };
-        let count = members.iter().filter(|node| **node == this || is_valid(node)).count();
+        let count = members.iter().filter(|node| **node == this || is_recent(node)).count();
         count > members.len() / 2
     }
 
--- a/src/registry/raft/snapshot.rs
+++ b/src/registry/raft/snapshot.rs
@@ -1,7 +1,7 @@
-//! Snapshots of the state machine: how they are encoded, and the file that keeps the latest one.
+//! Snapshots of the state machine: their encoding, and the file with the latest one.
 //!
 //! With a data directory the latest snapshot is in `raft.snapshot`, one frame ([`super::frame`]) that is replaced
-//! atomically. The frame's body is also what a node sends to another that lags behind the log.
+//! atomically. The frame's body is also sent to nodes that lag behind the log.
 
 use super::disk_error::{Corruption, DiskError};
 use super::{StorageError, TypeConfig, frame};
@@ -14,14 +14,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The name of the snapshot's file.
+/// The name of the snapshot file.
 const SNAPSHOT_FILE: &str = "raft.snapshot";
-/// The most bytes of a snapshot: the longest list, its leases and spare capacity for both.
+/// The maximum size of a snapshot, in bytes: the longest list, its leases and spare capacity for both.
 const MAX_SNAPSHOT_BYTES: usize = 64 << 20;
-/// The wait before a snapshot that could not be written is written again.
+/// How long to wait before a failed write of a snapshot is tried again.
 pub(super) const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Where in the log a snapshot stands, with the members there.
+/// A snapshot's position in the log, and the members at that position.
 pub(super) type Meta = SnapshotMeta<super::NodeId, openraft::EmptyNode>;
 
 /// A snapshot as it is stored and sent.
@@ -31,7 +31,7 @@
     pub(super) store: store::Snapshot,
 }
 
-/// A snapshot with the JSON that is stored and sent.
+/// A snapshot's metadata and the JSON that is stored and sent.
 #[derive(Clone)]
 pub(super) struct EncodedSnapshot {
     pub(super) meta: Meta,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The latest snapshot, shared with whoever builds the next.
+/// The latest snapshot, shared with the builder of the next one.
 #[derive(Clone, Default)]
 pub(super) struct LatestSnapshot(Arc<Mutex<Option<EncodedSnapshot>>>);
 
@@ -62,15 +62,15 @@
     }
 }
 
-/// The path of the snapshot's file in `dir`.
+/// The path of the snapshot file in `dir`.
 pub(super) fn path(dir: &Path) -> PathBuf {
     dir.join(SNAPSHOT_FILE)
 }
 
-/// Reads the snapshot in `dir`, with its JSON; `None` where there is none.
+/// Reads the snapshot in `dir`, with its JSON; `None` if there is none.
 ///
 /// # Errors
-/// `Io` where it can't be read, `Corrupt` where it does not read as written.
+/// `Io` if the file can't be read, `Corrupt` if its content is damaged.
 pub(super) fn read(dir: &Path) -> Result<Option<(PersistedSnapshot, Vec<u8>)>, DiskError> {
     let path = path(dir);
     let bytes = match std::fs::read(&path) {
@@ -86,10 +86,10 @@
     Ok((serde_json::from_slice(body)?, body.to_vec()))
 }
 
-/// Writes a snapshot's JSON to its file, where there is a data directory.
+/// Writes a snapshot's JSON to its file, if there is a data directory.
 ///
 /// # Errors
-/// The system's; the snapshot before is then still there, or the new one, complete.
+/// The error of the file operation; the file then contains the previous snapshot or the complete new one.
 pub(super) fn write(dir: Option<&Path>, body: &[u8]) -> io::Result<()> {
     let Some(dir) = dir else { return Ok(()) };
     let mut bytes = Vec::with_capacity(body.len() + frame::HEADER_BYTES);
@@ -97,7 +97,7 @@
     files::replace(dir, SNAPSHOT_FILE, &bytes).map(drop)
 }
 
-/// Writes one snapshot, which was taken when the builder was made.
+/// Writes one snapshot, which was taken when the builder was created.
 pub struct SnapshotBuilder {
     pub(super) snapshot: PersistedSnapshot,
     pub(super) latest: LatestSnapshot,
@@ -108,7 +108,7 @@
     async fn build_snapshot(&mut self) -> Result<Snapshot<TypeConfig>, StorageError> {
         let meta = self.snapshot.meta.clone();
         let (snapshot, dir) = (self.snapshot.clone(), self.dir.clone());
-        // On a thread of its own: encoding and fsyncing a list of 6,000 entries would delay the node's calls.
+        // On a separate thread: encoding and fsyncing a list of 6,000 entries would delay the node's calls.
         let encoding = tokio::task::spawn_blocking(move || {
             let body = serde_json::to_vec(&snapshot)?;
             while let Err(error) = write(dir.as_deref(), &body) {
--- a/src/registry/raft/state_machine.rs
+++ b/src/registry/raft/state_machine.rs
@@ -1,11 +1,11 @@
-//! The state machine that the log is applied to: the store, which calls and watches read, and the snapshots that let the
-//! log be purged.
+//! The state machine that the log is applied to: the store, which calls and watches read, and the snapshots, which
+//! allow the log to be purged.
 
 use super::disk_error::{Corruption, DiskError};
 use super::snapshot::{
     self, EncodedSnapshot, LatestSnapshot, Meta, PersistedSnapshot, SnapshotBuilder, WRITE_RETRY_INTERVAL,
 };
-use super::{Applied, Entry, LogId, Membership, StorageError, TypeConfig};
+use super::{Applied, Entry, LogId, StorageError, StoredMembership, TypeConfig};
 use crate::agreement::state::CommandOutcome;
 use crate::registry::store::{Command, Store, StoreError};
 use openraft::storage::RaftStateMachine;
@@ -19,7 +19,7 @@
 #[derive(Clone)]
 pub struct StoreHandle {
     store: Arc<Mutex<Store>>,
-    /// The revision, for watches to wait on.
+    /// The store's revision, whose changes watches wait for.
     revision: watch::Sender<u64>,
 }
 
@@ -34,15 +34,15 @@
         self.store.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// A receiver that is notified of each new revision.
+    /// Returns a receiver that is notified of each new revision.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.revision.subscribe()
     }
 
-    /// Notifies the receivers where the store's revision has changed.
+    /// Notifies the receivers if the store's revision has changed.
     fn publish_revision(&self) {
         let current = self.lock().revision();
-        self.revision.send_if_modified(|known| std::mem::replace(known, current) != current);
+        self.revision.send_if_modified(|published| std::mem::replace(published, current) != current);
     }
 }
 
@@ -50,18 +50,17 @@
 pub struct StateMachine {
     store: StoreHandle,
     applied: Option<LogId>,
-    membership: Membership,
+    membership: StoredMembership,
     latest_snapshot: LatestSnapshot,
     dir: Option<PathBuf>,
 }
 
 impl StateMachine {
-    /// Makes an empty state machine, or one as the snapshot in `dir` left it. `purged` is the last entry of the log that
-    /// is in the snapshot only.
+    /// Creates a state machine from the snapshot in `dir`, or an empty one if there is none. `purged` is the last entry
+    /// purged from the log.
     ///
     /// # Errors
-    /// `Io` where the snapshot can't be read, `Corrupt` where it does not read as written or does not reach as far as
-    /// `purged`.
+    /// `Io` if the snapshot can't be read, `Corrupt` if it is damaged or does not reach as far as `purged`.
     pub fn open(dir: Option<&Path>, purged: Option<LogId>) -> Result<Self, DiskError> {
         let stored = match dir {
             Some(dir) => snapshot::read(dir)?,
@@ -78,7 +77,7 @@
             return Ok(Self {
                 store: StoreHandle::new(Store::default()),
                 applied: None,
-                membership: Membership::default(),
+                membership: StoredMembership::default(),
                 latest_snapshot: LatestSnapshot::default(),
                 dir,
             });
@@ -100,31 +99,31 @@
     }
 
     /// The members, as of the last entry applied.
-    pub fn membership(&self) -> &Membership {
+    pub fn membership(&self) -> &StoredMembership {
         &self.membership
     }
 
-    /// The result of an entry that holds no command.
-    fn unchanged(&self) -> Result<Applied, StoreError> {
-        Ok(Applied { revision: self.store.lock().revision(), token: None, done: CommandOutcome::Nothing })
+    /// The result of an entry without a command.
+    fn result_without_command(&self) -> Result<Applied, StoreError> {
+        Ok(Applied { revision: self.store.lock().revision(), token: None, outcome: CommandOutcome::Nothing })
     }
 
     fn apply_command(&mut self, command: &Command) -> Result<Applied, StoreError> {
         let mut store = self.store.lock();
-        let done = store.apply_with_outcome(command)?;
+        let outcome = store.apply_with_outcome(command)?;
         let revision = store.revision();
         let token = match command {
             Command::Acquire { name, .. } => store.lease(name).map(|grant| grant.token),
             _ => None,
         };
-        Ok(Applied { revision, token, done })
+        Ok(Applied { revision, token, outcome })
     }
 }
 
 impl RaftStateMachine<TypeConfig> for StateMachine {
     type SnapshotBuilder = SnapshotBuilder;
 
-    async fn applied_state(&mut self) -> Result<(Option<LogId>, Membership), StorageError> {
+    async fn applied_state(&mut self) -> Result<(Option<LogId>, StoredMembership), StorageError> {
         Ok((self.applied, self.membership.clone()))
     }
 
@@ -138,10 +137,10 @@
             self.applied = Some(entry.log_id);
             results.push(match entry.payload {
                 EntryPayload::Normal(command) => self.apply_command(&command),
-                EntryPayload::Blank => self.unchanged(),
+                EntryPayload::Blank => self.result_without_command(),
                 EntryPayload::Membership(members) => {
-                    self.membership = Membership::new(Some(entry.log_id), members);
-                    self.unchanged()
+                    self.membership = StoredMembership::new(Some(entry.log_id), members);
+                    self.result_without_command()
                 }
             });
         }
--- a/src/registry/store/command.rs
+++ b/src/registry/store/command.rs
@@ -1,5 +1,5 @@
-//! The commands of the replicated log. They are stored: a `serde` name is never changed, and a command is never taken
-//! out while a log may hold it.
+//! The commands of the replicated log. They are stored: a `serde` name never changes, and a command is never removed
+//! while a log may contain it.
 
 use super::endpoint::Instance;
 use super::lease::GrantId;
@@ -14,33 +14,33 @@
     Register {
         /// The backend; its lifecycle must be `SERVING` or `DRAINING`.
         instance: Instance,
-        /// Milliseconds that it stays without a heartbeat, within [`super::TTL_RANGE_MS`].
+        /// How long it stays listed without a heartbeat, in milliseconds, within [`super::TTL_RANGE_MS`].
         ttl_ms: u64,
         /// The leader's time.
         at_ms: u64,
     },
     /// Renews a listed backend for its TTL from now (written by builds before [`Command::ExpireByCommand`]).
     Heartbeat {
-        /// Its id.
+        /// The backend's id.
         instance_id: String,
         /// The leader's time.
         at_ms: u64,
     },
     /// Removes a backend from the list.
     Deregister {
-        /// Its id.
+        /// The backend's id.
         instance_id: String,
     },
     /// Sets a backend's weight.
     SetWeight {
-        /// Its id.
+        /// The backend's id.
         instance_id: String,
-        /// In (0, 1000].
+        /// The new weight, in (0, 1000].
         weight: f64,
     },
     /// Marks a backend draining: proxies send it nothing new.
     Drain {
-        /// Its id.
+        /// The backend's id.
         instance_id: String,
     },
     /// Updates the membership. Before [`Command::ExpireByCommand`] it also removes every backend whose TTL has passed.
@@ -48,11 +48,11 @@
         /// The leader's time.
         at_ms: u64,
     },
-    /// From here on the leader keeps renewals in memory ([`crate::registry::liveness`]), and nothing expires but by
-    /// [`Command::EndExpired`].
+    /// From this command on, the leader keeps renewals in memory ([`crate::registry::liveness`]), and entries expire
+    /// only by [`Command::EndExpired`].
     #[serde(rename = "lapse_by_command")]
     ExpireByCommand,
-    /// Ends what the leader has found expired; what has ended already is ignored.
+    /// Ends everything that the leader found to have expired; entries that have ended already are ignored.
     #[serde(rename = "lapse")]
     EndExpired {
         /// What has expired.
@@ -61,15 +61,15 @@
         /// The leader's time.
         at_ms: u64,
     },
-    /// Grants the lease `name` to `holder` for `ttl_ms` from now, unless another holds it unexpired. The fencing token
-    /// of each grant is the revision that it makes, so tokens only grow. A holder that acquires again while it holds
-    /// the lease gets a new grant, and its old token is void.
+    /// Grants the lease `name` to `holder` for `ttl_ms` from now, unless another process holds it and it has not
+    /// expired. The fencing token of each grant is the revision that the grant creates, so tokens only grow. A holder
+    /// that acquires again while it holds the lease gets a new grant, and its old token becomes invalid.
     Acquire {
         /// The duty's name.
         name: String,
-        /// The process that acquires it, by any name that is its own.
+        /// A name that identifies the acquiring process uniquely.
         holder: String,
-        /// Milliseconds, within [`super::TTL_RANGE_MS`].
+        /// The TTL in milliseconds, within [`super::TTL_RANGE_MS`].
         ttl_ms: u64,
         /// The leader's time.
         at_ms: u64,
@@ -85,7 +85,7 @@
         at_ms: u64,
     },
     /// Records that the log of `node` with this incarnation takes part in the cluster, so that a node whose disk was
-    /// lost is not taken for the one that has voted. Changes no revision.
+    /// lost is not mistaken for the one that has voted. Does not change the revision.
     Join {
         /// The node.
         node: u64,
@@ -93,13 +93,14 @@
         incarnation: u64,
     },
     /// Changes sessions or settings ([`state`]).
-    Agree {
+    #[serde(rename = "agree")]
+    ChangeAgreement {
         /// The change.
         change: state::Command,
         /// The leader's time.
         at_ms: u64,
     },
-    /// Forgets the log of a node that has left the cluster's members.
+    /// Removes the record of the log of a node that is no longer a member of the cluster.
     Forget {
         /// The node.
         node: u64,
@@ -113,7 +114,7 @@
     },
 }
 
-/// Everything that has expired by one instant.
+/// Everything that has expired at one point in time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Expired {
     /// Backends, by id.
--- a/src/registry/store/endpoint.rs
+++ b/src/registry/store/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: the backends listed, each with its TTL, and the changes that watches are answered from.
+//! The endpoint list: the listed backends with their TTLs, and the changes from which watches are answered.
 
 use super::history::ChangeHistory;
 use super::lease::Expiry;
@@ -7,10 +7,11 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Most entries listed at once.
+/// The maximum number of entries listed at once.
 pub const MAX_ENTRIES: usize = 6_000;
-/// Most bytes of all entries as JSON, so that the complete list stays below the 1 MiB that a proxy reads; a byte each
-/// is left for draining (`DRAINING` is longer than `SERVING`), and some for the object around them.
+/// The maximum size of all entries as JSON, in bytes, so that the complete list stays below the 1 MiB that a proxy
+/// reads: it leaves a byte per entry for draining (`DRAINING` is longer than `SERVING`), and some for the enclosing
+/// object.
 pub const MAX_LIST_BYTES: usize = (1 << 20) - (8 << 10);
 /// The largest weight of a backend.
 const MAX_WEIGHT: f64 = 1_000.0;
@@ -23,7 +24,7 @@
     Serving,
     /// Completes the requests that it has and takes no new ones.
     Draining,
-    /// Removed: sent among changes only, and never stored.
+    /// Removed; appears only in changes and is never stored.
     Deleted,
 }
 
@@ -31,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
-    /// The same for every proxy.
+    /// Its id, the same for every proxy.
     pub instance_id: String,
     /// Where it listens.
     pub host_port: SocketAddr,
@@ -46,9 +47,9 @@
     pub cell: u32,
     /// Serving, draining or deleted.
     pub lifecycle: Lifecycle,
-    /// Its part of the traffic relative to other backends, in (0, 1000].
+    /// Its share of the traffic relative to other backends, in (0, 1000].
     pub weight: f64,
-    /// Its last start, Unix time in milliseconds; 0: long ago.
+    /// Its last start as Unix time in milliseconds; 0 means long ago.
     #[serde(default)]
     pub started_at_ms: u64,
 }
@@ -70,9 +71,9 @@
 /// An answer to a watch: the changes since its revision, or the complete list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchEvent {
-    /// The revision that the watcher has once it applied the event.
+    /// The watcher's revision after it has applied the event.
     pub revision: u64,
-    /// Whether `instances` is the complete list; else it holds the changed entries, `DELETED` ones among them.
+    /// Whether `instances` is the complete list; otherwise it contains the changed entries, including `DELETED` ones.
     pub reset: bool,
     /// The entries.
     pub instances: Vec<Instance>,
@@ -85,30 +86,30 @@
     }
 }
 
-/// The listed backends by id. Methods that change an entry count `revision` up.
+/// The listed backends by id. Methods that change an entry increment `revision`.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct EndpointList {
     entries: BTreeMap<String, ListedInstance>,
-    /// Bytes of all entries as JSON.
+    /// Size of all entries as JSON, in bytes.
     pub(super) json_bytes: usize,
     /// The revision of the latest change; 0 before any.
-    last_changed: u64,
+    last_change_revision: u64,
     history: ChangeHistory,
 }
 
 impl EndpointList {
-    /// A list as a snapshot holds it, without the changes before.
-    pub(super) fn restore(entries: BTreeMap<String, ListedInstance>, last_changed: u64) -> Self {
+    /// Restores a list from a snapshot, without the changes before it.
+    pub(super) fn restore(entries: BTreeMap<String, ListedInstance>, last_change_revision: u64) -> Self {
         let json_bytes = entries.values().map(|listed| json_size(&listed.instance)).sum();
-        Self { entries, json_bytes, last_changed, history: ChangeHistory::default() }
+        Self { entries, json_bytes, last_change_revision, history: ChangeHistory::default() }
     }
 
     pub(super) fn entries(&self) -> &BTreeMap<String, ListedInstance> {
         &self.entries
     }
 
-    pub(super) fn last_changed(&self) -> u64 {
-        self.last_changed
+    pub(super) fn last_change_revision(&self) -> u64 {
+        self.last_change_revision
     }
 
     pub(super) fn expiries(&self) -> impl Iterator<Item = (&str, Expiry)> {
@@ -127,14 +128,15 @@
         at_ms: u64,
         revision: &mut u64,
     ) -> Result<(), StoreError> {
-        let known = self.entries.get(&instance.instance_id);
-        let known_bytes = known.map_or(0, |listed| json_size(&listed.instance));
-        let json_bytes = self.json_bytes + json_size(instance) - known_bytes;
-        if (known.is_none() && self.entries.len() >= MAX_ENTRIES) || json_bytes > MAX_LIST_BYTES {
+        let previous = self.entries.get(&instance.instance_id);
+        let previous_bytes = previous.map_or(0, |listed| json_size(&listed.instance));
+        let json_bytes = self.json_bytes + json_size(instance) - previous_bytes;
+        if (previous.is_none() && self.entries.len() >= MAX_ENTRIES) || json_bytes > MAX_LIST_BYTES {
             return Err(StoreError::Full);
         }
-        // A new TTL counts as a change too, so that every change written to disk makes a revision.
-        let unchanged = known.is_some_and(|listed| listed.instance == *instance && listed.ttl_ms == ttl_ms);
+        // A new TTL counts as a change too, so that every change written to disk creates a revision.
+        let unchanged =
+            previous.is_some_and(|listed| listed.instance == *instance && listed.ttl_ms == ttl_ms);
         self.json_bytes = json_bytes;
         let listed = ListedInstance { instance: instance.clone(), ttl_ms, expires_at_ms: at_ms + ttl_ms };
         self.entries.insert(instance.instance_id.clone(), listed);
@@ -185,7 +187,7 @@
         Ok(())
     }
 
-    /// Removes an entry; whether it was listed.
+    /// Removes an entry; returns whether it was listed.
     pub(super) fn remove(&mut self, instance_id: &str, revision: &mut u64) -> bool {
         let Some(mut removed) = self.entries.remove(instance_id) else { return false };
         self.json_bytes -= json_size(&removed.instance);
@@ -209,7 +211,7 @@
         if !self.history.is_complete_since(since, revision) {
             return Some(self.complete(revision));
         }
-        // Revisions that changed no entry, as grants of leases, wake no watcher.
+        // Revisions that changed no entry, such as grants of leases, wake no watcher.
         let instances = self.history.latest_since(since);
         (!instances.is_empty()).then_some(WatchEvent { revision, reset: false, instances })
     }
@@ -226,7 +228,7 @@
 
     fn record_change(&mut self, instance: Instance, revision: &mut u64) {
         *revision += 1;
-        self.last_changed = *revision;
+        self.last_change_revision = *revision;
         self.history.push(*revision, instance);
     }
 }
@@ -239,17 +241,17 @@
     check_name("zone", &instance.zone, 0..=MAX_NAME_LEN)?;
     check_name("machineType", &instance.machine_type, 0..=MAX_NAME_LEN)?;
     if instance.lifecycle == Lifecycle::Deleted || instance.host_port.port() == 0 {
-        return Err(StoreError::Registration);
+        return Err(StoreError::InvalidRegistration);
     }
     Ok(())
 }
 
 fn check_weight(weight: f64) -> Result<(), StoreError> {
-    if weight > 0.0 && weight <= MAX_WEIGHT { Ok(()) } else { Err(StoreError::Weight(weight)) }
+    if weight > 0.0 && weight <= MAX_WEIGHT { Ok(()) } else { Err(StoreError::InvalidWeight(weight)) }
 }
 
-/// Bytes of an entry in the list, with its comma.
+/// Size of an entry in the list with its comma, in bytes.
 fn json_size(instance: &Instance) -> usize {
-    // An entry always serializes; one that did not would count as longer than any list.
+    // An entry always serializes; one that did not would count as the maximum size of a list.
     serde_json::to_vec(instance).map_or(MAX_LIST_BYTES, |json| json.len() + 1)
 }
--- a/src/registry/store/history.rs
+++ b/src/registry/store/history.rs
@@ -3,10 +3,10 @@
 use super::endpoint::Instance;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes retained; a watch since an older revision is answered with the complete list.
+/// The number of changes retained; a watch since an older revision is answered with the complete list.
 pub const MAX_RETAINED_CHANGES: usize = 4_096;
 
-/// Each change's revision with the entry as it became, oldest first. A restored store has none.
+/// Each change's revision with the entry after the change, oldest first. A restored store has no changes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct ChangeHistory {
     changes: VecDeque<(u64, Instance)>,
@@ -20,9 +20,9 @@
         self.changes.push_back((revision, instance));
     }
 
-    /// Whether every change after `since` is retained, the store being at `revision`.
+    /// Whether every change after `since` is retained; `revision` is that of the store.
     pub(super) fn is_complete_since(&self, since: u64, revision: u64) -> bool {
-        // Where no change is retained, as after a restore, nothing is known of those before the present revision.
+        // If no change is retained, as after a restore, the changes up to the current revision are not known.
         let retained_from = self.changes.front().map_or(revision + 1, |(oldest, _)| *oldest);
         since + 1 >= retained_from
     }
--- a/src/registry/store/lease.rs
+++ b/src/registry/store/lease.rs
@@ -4,7 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Most leases held at once: duties are few, and a faulty client must not grow the store without bound.
+/// The maximum number of leases held at once: duties are few, and a faulty client must not grow the store without
+/// bound.
 pub const MAX_LEASES: usize = 1_024;
 
 /// A grant of a lease, by its name and token.
@@ -16,7 +17,7 @@
     pub token: u64,
 }
 
-/// One grant of a lease, as the store holds it.
+/// One grant of a lease, as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The process that holds it.
@@ -29,23 +30,23 @@
     pub expires_at_ms: u64,
 }
 
-/// How long something stays unless it is renewed.
+/// When an entry expires unless it is renewed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Expiry {
     /// Its TTL in milliseconds.
     pub ttl_ms: u64,
-    /// When it expires by what the log says alone, on the log's clock in milliseconds: a TTL after it was made.
+    /// When it expires according to the log alone, on the log's clock in milliseconds: one TTL after it was created.
     pub expires_at_ms: u64,
 }
 
 impl Grant {
-    /// How long it stays unless it is renewed.
+    /// When it expires unless it is renewed.
     pub fn expiry(&self) -> Expiry {
         Expiry { ttl_ms: self.ttl_ms, expires_at_ms: self.expires_at_ms }
     }
 }
 
-/// The grants by the lease's name; an expired one stays until it is ended, granted anew or released.
+/// The grants by the lease's name; an expired one stays until it is ended, granted again or released.
 pub(super) type Leases = BTreeMap<String, Grant>;
 
 /// One attempt to acquire a lease.
@@ -58,7 +59,7 @@
     pub(super) can_expire: bool,
 }
 
-/// Grants a lease, or rejects where another process holds it.
+/// Grants a lease, or rejects the request if another process holds the lease.
 pub(super) fn acquire(leases: &mut Leases, request: &Request, revision: &mut u64) -> Result<(), StoreError> {
     let Request { name, holder, ttl_ms, now_ms, can_expire } = *request;
     match leases.get(name) {
@@ -70,7 +71,7 @@
                 expires_at_ms: current.expires_at_ms,
             });
         }
-        // The same holder gets a new grant too: a release of its old one may still be on its way, and must not end
+        // The same holder gets a new grant too: a release of its old grant may still be in transit, and must not end
         // the new one.
         Some(_) => {}
         None if leases.len() >= MAX_LEASES => return Err(StoreError::TooManyLeases),
@@ -100,13 +101,13 @@
     }
 }
 
-/// Removes a grant; whether it was there under that token.
+/// Removes the grant with `token`; returns whether there was one.
 pub(super) fn remove(leases: &mut Leases, name: &str, token: u64) -> bool {
-    let granted = leases.get(name).is_some_and(|grant| grant.token == token);
-    if granted {
+    let is_held = leases.get(name).is_some_and(|grant| grant.token == token);
+    if is_held {
         leases.remove(name);
     }
-    granted
+    is_held
 }
 
 fn is_live(grant: &Grant, now_ms: u64, can_expire: bool) -> bool {
--- a/src/registry/store/mod.rs
+++ b/src/registry/store/mod.rs
@@ -1,17 +1,17 @@
 //! The list service's state machine: the endpoint list, leases, and the agreement, with the revision that counts every
-//! change. It is what the replicated log is applied to, so it is pure: every command carries the time at which the
-//! leader stamped it, and the same commands in the same order give the same state on every node.
+//! change. The replicated log is applied to it, so it is deterministic: every command carries a timestamp from the
+//! leader, and the same commands in the same order give the same state on every node.
 //!
 //! The revision is the `generation` of the list that proxies read. It starts at 1 and only grows. A command that
-//! changes nothing, as a repeated drain, keeps the revision, so that it wakes no watcher.
+//! changes nothing, such as a repeated drain, does not change the revision, so that it wakes no watcher.
 //!
-//! Time: `at_ms` in commands is the log's clock ([`super::clock`]) as the leader read it, in milliseconds. A command
-//! stamped below one applied before counts as stamped with that one's time ([`Store::stamp`]).
+//! Time: `at_ms` in commands is the time on the log's clock ([`super::clock`]) as the leader read it, in
+//! milliseconds. A timestamp below that of a command applied before is replaced by that command's ([`Store::stamp`]).
 //!
-//! What lives by its renewals (backends, leases, sessions) is renewed in the leader's memory ([`super::liveness`]) and
-//! leaves the store by [`Command::EndExpired`] alone, so that a fleet at rest writes nothing. A leader switches the
-//! store to this with [`Command::ExpireByCommand`]; commands before it in a log are applied as the build that wrote them
-//! did. A node of such a build does not know the command, and stops where it reads it.
+//! Backends, leases and sessions, which expire unless renewed, are renewed in the leader's memory ([`super::liveness`])
+//! and removed from the store only by [`Command::EndExpired`], so that an idle fleet writes nothing. A leader switches
+//! the store to this with [`Command::ExpireByCommand`]; commands before it in a log are applied as by the build that
+//! wrote them. A node of such a build does not know the command, and stops when it reads it.
 
 mod command;
 mod endpoint;
@@ -33,25 +33,25 @@
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// The TTLs that a registration or a lease may ask for, in milliseconds.
+/// The valid TTLs of registrations and leases, in milliseconds.
 pub const TTL_RANGE_MS: RangeInclusive<u64> = 500..=300_000;
-/// Most characters of an id, a zone, a machine type, a lease's name or a holder. They are visible ASCII, so that each is
-/// a line of a log and a JSON string of the same length.
+/// The maximum length of an id, a zone, a machine type, a lease's name or a holder, in characters. They are visible
+/// ASCII, so that each fits on one line of a log and is a JSON string of the same length.
 pub const MAX_NAME_LEN: usize = 128;
 
-/// The replicated state. The node that applies the log owns it.
+/// The replicated state, owned by the node that applies the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Store {
     revision: u64,
     endpoints: EndpointList,
-    /// The latest time stamped into a command applied.
+    /// The latest timestamp of an applied command, on the log's clock in milliseconds.
     clock_ms: u64,
     leases: Leases,
-    /// The nodes that take part, by number, with the incarnation of their log.
+    /// The incarnation of the log of each node that takes part, by node number.
     node_incarnations: BTreeMap<u64, u64>,
     /// Sessions, membership and settings.
     agreement: Agreement,
-    /// Nothing expires but by [`Command::EndExpired`].
+    /// Whether entries expire only by [`Command::EndExpired`].
     expires_by_command: bool,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl Store {
-    /// The revision: 1 for a store that has seen no change.
+    /// The revision; 1 for a store without changes.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -77,20 +77,20 @@
         self.endpoints.entries().is_empty()
     }
 
-    /// The time that a leader stamps into its next command: its clock's reading, but never below a time already
-    /// applied, so that time in the log only grows however the leaders' clocks differ.
+    /// The timestamp of a leader's next command: its clock's reading, but never below a timestamp already applied, so
+    /// that time in the log never goes back, however much the leaders' clocks differ. In milliseconds.
     pub fn stamp(&self, clock_ms: u64) -> u64 {
         clock_ms.max(self.clock_ms)
     }
 
-    /// The latest time stamped into a command applied, on the log's clock in milliseconds.
+    /// The latest timestamp of an applied command, on the log's clock in milliseconds.
     pub fn clock_ms(&self) -> u64 {
         self.clock_ms
     }
 
     /// The revision of the endpoint list's latest change; 0 before any.
     pub fn list_revision(&self) -> u64 {
-        self.endpoints.last_changed()
+        self.endpoints.last_change_revision()
     }
 
     /// Sessions, membership and settings.
@@ -98,7 +98,7 @@
         &self.agreement
     }
 
-    /// Whether nothing expires but by [`Command::EndExpired`].
+    /// Whether entries expire only by [`Command::EndExpired`].
     pub fn expires_by_command(&self) -> bool {
         self.expires_by_command
     }
@@ -128,7 +128,7 @@
         self.leases.get(name)
     }
 
-    /// The incarnation of the log by which `node` takes part, if it does.
+    /// The incarnation of the log with which `node` takes part, if it does.
     pub fn incarnation_of(&self, node: u64) -> Option<u64> {
         self.node_incarnations.get(&node).copied()
     }
@@ -138,9 +138,9 @@
         self.endpoints.complete(self.revision)
     }
 
-    /// The answer to a watch since a revision: `None` while no entry has changed after it (the watch waits), the
-    /// changes where all of them are retained, else the complete list. A `since` ahead of this store, from a watcher
-    /// that was answered by a node further on, waits too: nothing older is ever answered.
+    /// The answer to a watch since revision `since`: `None` while no entry has changed after it (the watch waits), the
+    /// changes if all of them are retained, else the complete list. A watch with a `since` ahead of this store, from a
+    /// watcher that was answered by a node at a later revision, waits too: it never gets an older answer.
     pub fn changes_since(&self, since: u64) -> Option<WatchEvent> {
         self.endpoints.changes_since(since, self.revision)
     }
@@ -153,7 +153,7 @@
     /// Applies one command; returns the revision after it.
     ///
     /// # Errors
-    /// Why the command is rejected; nothing has changed then.
+    /// The reason for a rejection; the store is unchanged then.
     pub fn apply(&mut self, command: &Command) -> Result<u64, StoreError> {
         self.apply_with_outcome(command).map(|_| self.revision)
     }
@@ -161,10 +161,10 @@
     /// Applies one command; returns the outcome of a change of the agreement.
     ///
     /// # Errors
-    /// Why the command is rejected; nothing has changed then.
+    /// The reason for a rejection; the store is unchanged then.
     pub fn apply_with_outcome(&mut self, command: &Command) -> Result<CommandOutcome, StoreError> {
         match command {
-            Command::Agree { change, at_ms } => return self.change_agreement(change, *at_ms),
+            Command::ChangeAgreement { change, at_ms } => return self.change_agreement(change, *at_ms),
             Command::Register { instance, ttl_ms, at_ms } => {
                 endpoint::check_registration(instance, *ttl_ms)?;
                 let now_ms = self.stamp(*at_ms);
@@ -237,8 +237,8 @@
     }
 
     fn join(&mut self, node: u64, incarnation: u64) -> Result<(), StoreError> {
-        if self.incarnation_of(node).is_some_and(|known| known != incarnation) {
-            return Err(StoreError::Joined(node));
+        if self.incarnation_of(node).is_some_and(|recorded| recorded != incarnation) {
+            return Err(StoreError::OtherLogJoined(node));
         }
         self.node_incarnations.insert(node, incarnation);
         Ok(())
@@ -273,14 +273,14 @@
 }
 
 fn check_ttl(ttl_ms: u64) -> Result<(), StoreError> {
-    if TTL_RANGE_MS.contains(&ttl_ms) { Ok(()) } else { Err(StoreError::Ttl(ttl_ms)) }
+    if TTL_RANGE_MS.contains(&ttl_ms) { Ok(()) } else { Err(StoreError::InvalidTtl(ttl_ms)) }
 }
 
 fn check_name(field: &str, name: &str, length: RangeInclusive<usize>) -> Result<(), StoreError> {
     if length.contains(&name.len()) && name.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Ok(());
     }
-    Err(StoreError::Name(field.to_string()))
+    Err(StoreError::InvalidName(field.to_string()))
 }
 
 #[cfg(test)]
--- a/src/registry/store/snapshot.rs
+++ b/src/registry/store/snapshot.rs
@@ -1,4 +1,4 @@
-//! The store as a snapshot holds it. It is stored: a field's name is never changed, and a new field has a default.
+//! Snapshots of the store. They are stored: a field's name never changes, and a new field has a default.
 
 use super::Store;
 use super::endpoint::{EndpointList, ListedInstance};
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// All of a store but the changes retained for watches: a restored node answers its watchers with the complete list
-/// once.
+/// All of a store except the changes retained for watches: a restored node answers each watcher once with the complete
+/// list.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Snapshot {
     revision: u64,
@@ -28,7 +28,7 @@
 }
 
 impl Snapshot {
-    /// An empty store's, at revision 1.
+    /// The snapshot of an empty store, at revision 1.
     pub(super) fn empty() -> Self {
         Self {
             revision: 1,
@@ -44,7 +44,7 @@
 }
 
 impl Store {
-    /// The state to write to disk.
+    /// A snapshot of the current state.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             revision: self.revision,
@@ -52,13 +52,13 @@
             clock_ms: self.clock_ms,
             leases: self.leases.clone(),
             node_incarnations: self.node_incarnations.clone(),
-            list_revision: self.endpoints.last_changed(),
+            list_revision: self.endpoints.last_change_revision(),
             agreement: self.agreement.clone(),
             expires_by_command: self.expires_by_command,
         }
     }
 
-    /// A store as a snapshot holds it.
+    /// Restores a store from a snapshot.
     pub fn restore(snapshot: Snapshot) -> Self {
         Self {
             revision: snapshot.revision,
--- a/tests/agreement_model.rs
+++ b/tests/agreement_model.rs
@@ -278,7 +278,7 @@
     }
 
     fn apply(&mut self, change: Command) -> Option<CommandOutcome> {
-        let command = store::Command::Agree { change, at_ms: self.log_ms };
+        let command = store::Command::ChangeAgreement { change, at_ms: self.log_ms };
         let outcome = self.service.apply_with_outcome(&command).ok();
         self.record_changes();
         outcome
--- a/tests/raft_messages.rs
+++ b/tests/raft_messages.rs
@@ -93,7 +93,7 @@
         let peers = Arc::new(BTreeMap::from([(TARGET, self.address)]));
         let durable_log = DurableLog {
             log: Log::in_memory(CALLER),
-            patience: CALL_TIMEOUT,
+            full_ack_timeout: CALL_TIMEOUT,
             max_leader_stall: CALL_TIMEOUT,
         };
         let mut network = Network { peers, node: CALLER, quorum_lease: QuorumLease::default(), durable_log };
--- a/tests/settings_documents.rs
+++ b/tests/settings_documents.rs
@@ -281,7 +281,7 @@
     assert_golden("settings/commands.json", &text);
     assert_eq!(serde_json::from_str::<Vec<Command>>(&text).expect("they read"), commands());
     let logged: Vec<store::Command> =
-        commands().into_iter().map(|change| store::Command::Agree { change, at_ms: 12 }).collect();
+        commands().into_iter().map(|change| store::Command::ChangeAgreement { change, at_ms: 12 }).collect();
     assert_golden("settings/logged_commands.json", &pretty(&logged));
     // A renewal may omit most fields, but must not have unknown ones.
     let short: Renewal = serde_json::from_str(r#"{"session": 3}"#).expect("it reads");
