--- a/tests/list_service_stored_forms.rs
+++ b/tests/list_service_stored_forms.rs
@@ -1,5 +1,5 @@
-//! The list service's commands and snapshots as they are stored: a log or a snapshot that an earlier build wrote has
-//! to be read, and what this build writes has to be read by that build.
+//! The stored form of the list service's commands and snapshots: this build must read the logs and snapshots that an
+//! earlier build wrote, and that build must read those of this one.
 
 use linkhatch_proxy::registry::store::{Command, Snapshot, Store, StoreError};
 use serde::Serialize;
@@ -7,7 +7,7 @@
 
 const INSTANCE: &str = r#"{"instanceId":"s-1","hostPort":"127.0.0.1:7000","zone":"a","machineType":"m","cell":3,"lifecycle":"SERVING","weight":1.5,"startedAtMs":12}"#;
 
-/// Reads a stored text and compares what is written again with it.
+/// Asserts that a stored text is written again unchanged after it was read.
 fn assert_round_trip<T: Serialize + DeserializeOwned>(text: &str) {
     let value: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"));
     assert_eq!(serde_json::to_string(&value).expect("JSON"), text);
--- a/tests/raft_messages.rs
+++ b/tests/raft_messages.rs
@@ -1,5 +1,5 @@
-//! The messages between list-service nodes as they are on the wire. Nodes of two builds talk to each other while a
-//! cluster is replaced one node at a time, so every form here must be read and written by each build.
+//! The messages between list-service nodes in their wire format. Nodes of two builds exchange messages while a
+//! cluster is upgraded one node at a time, so each build must read and write every format here.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -27,7 +27,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// One message a line: its kind, a space and its JSON, as the build before this one wrote it.
+/// One message per line: its kind, a space and its JSON, as the build before this one wrote it.
 const MESSAGES: &str = include_str!("fixtures/raft/messages.txt");
 const CALLER: NodeId = 2;
 const TARGET: NodeId = 3;
@@ -41,14 +41,14 @@
     messages
 }
 
-fn read<T: DeserializeOwned>(message: &str) -> T {
+fn parse<T: DeserializeOwned>(message: &str) -> T {
     serde_json::from_str(message).unwrap_or_else(|error| panic!("{error}: {message}"))
 }
 
 /// Reads each message of one kind and asserts that it is written again byte for byte.
-fn round_trips<T: DeserializeOwned + Serialize>(kind: &str) {
+fn assert_round_trips<T: DeserializeOwned + Serialize>(kind: &str) {
     for message in recorded(kind) {
-        let written = serde_json::to_string(&read::<T>(message)).expect("a message serializes");
+        let written = serde_json::to_string(&parse::<T>(message)).expect("a message serializes");
         assert_eq!(written, message, "{kind}");
     }
 }
@@ -57,16 +57,16 @@
 
 #[test]
 fn messages_between_nodes_keep_their_form() {
-    round_trips::<VoteRequest<NodeId>>("vote_request");
-    round_trips::<Result<VoteResponse<NodeId>, RaftError<NodeId>>>("vote_reply");
-    round_trips::<AppendEntriesRequest<TypeConfig>>("append_request");
-    round_trips::<Result<AppendEntriesResponse<NodeId>, RaftError<NodeId>>>("append_reply");
-    round_trips::<InstallSnapshotRequest<TypeConfig>>("snapshot_request");
-    round_trips::<SnapshotReply>("snapshot_reply");
-    round_trips::<JoinStatus>("joined_reply");
+    assert_round_trips::<VoteRequest<NodeId>>("vote_request");
+    assert_round_trips::<Result<VoteResponse<NodeId>, RaftError<NodeId>>>("vote_reply");
+    assert_round_trips::<AppendEntriesRequest<TypeConfig>>("append_request");
+    assert_round_trips::<Result<AppendEntriesResponse<NodeId>, RaftError<NodeId>>>("append_reply");
+    assert_round_trips::<InstallSnapshotRequest<TypeConfig>>("snapshot_request");
+    assert_round_trips::<SnapshotReply>("snapshot_reply");
+    assert_round_trips::<JoinStatus>("joined_reply");
 }
 
-/// A node that answers every call with one body and records what it was asked.
+/// A node that answers every call with the same body and records the calls.
 struct RecordingNode {
     address: SocketAddr,
     calls: Arc<Mutex<Vec<(String, String)>>>,
@@ -80,7 +80,7 @@
         let recorded = calls.clone();
         tokio::spawn(async move {
             let (stream, _) = listener.accept().await.expect("a connection");
-            let service = service_fn(move |request| record(request, recorded.clone(), reply));
+            let service = service_fn(move |request| record_call(request, recorded.clone(), reply));
             let http = hyper::server::conn::http1::Builder::new();
             // The caller closes the connection when the test is done with it.
             let _ = http.serve_connection(TokioIo::new(stream), service).await;
@@ -100,59 +100,59 @@
         network.new_client(TARGET, &EmptyNode {}).await
     }
 
-    /// Asserts that it was called once, on `path` with `body`.
-    fn was_called(&self, path: &str, body: &str) {
+    /// Asserts that the node was called exactly once, on `path` with `body`.
+    fn assert_called_once(&self, path: &str, body: &str) {
         let calls = self.calls.lock().expect("not poisoned");
         assert_eq!(*calls, [(format!("POST {path}"), body.to_string())]);
     }
 }
 
-async fn record(
+async fn record_call(
     request: Request<Incoming>,
     calls: Arc<Mutex<Vec<(String, String)>>>,
     reply: &'static str,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let call = format!("{} {}", request.method(), request.uri());
-    let body = request.into_body().collect().await.expect("a whole body").to_bytes();
+    let body = request.into_body().collect().await.expect("a complete body").to_bytes();
     let body = String::from_utf8(body.to_vec()).expect("a body in UTF-8");
     calls.lock().expect("not poisoned").push((call, body));
     Ok(Response::new(Full::new(Bytes::from(reply))))
 }
 
-/// The reply as it is inside its `Ok`, once read and written again by the client's types.
-fn unwrapped(reply: &str) -> &str {
+/// The value inside the `Ok` of a reply, as the client's types serialize it.
+fn ok_value(reply: &str) -> &str {
     reply.strip_prefix("{\"Ok\":").and_then(|rest| rest.strip_suffix('}')).expect("a successful reply")
 }
 
-fn option() -> RPCOption {
+fn rpc_option() -> RPCOption {
     RPCOption::new(CALL_TIMEOUT)
 }
 
 #[tokio::test]
-async fn a_node_asks_for_votes_on_its_path() {
+async fn a_node_requests_votes_on_the_vote_path() {
     let (request, reply) = (recorded("vote_request")[0], recorded("vote_reply")[0]);
     let node = RecordingNode::start(reply).await;
-    let answer = node.client().await.vote(read(request), option()).await.expect("a reply");
-    node.was_called("/raft/vote", request);
-    assert_eq!(serde_json::to_string(&answer).expect("serializes"), unwrapped(reply));
+    let answer = node.client().await.vote(parse(request), rpc_option()).await.expect("a reply");
+    node.assert_called_once("/raft/vote", request);
+    assert_eq!(serde_json::to_string(&answer).expect("serializes"), ok_value(reply));
 }
 
 #[tokio::test]
-async fn a_node_appends_entries_on_its_path() {
+async fn a_node_appends_entries_on_the_append_path() {
     for request in recorded("append_request") {
         let reply = recorded("append_reply")[0];
         let node = RecordingNode::start(reply).await;
-        let answer = node.client().await.append_entries(read(request), option()).await.expect("a reply");
-        node.was_called("/raft/append", request);
-        assert_eq!(serde_json::to_string(&answer).expect("serializes"), unwrapped(reply));
+        let answer = node.client().await.append_entries(parse(request), rpc_option()).await.expect("a reply");
+        node.assert_called_once("/raft/append", request);
+        assert_eq!(serde_json::to_string(&answer).expect("serializes"), ok_value(reply));
     }
 }
 
 #[tokio::test]
-async fn a_node_sends_pieces_of_a_snapshot_on_its_path() {
+async fn a_node_sends_snapshot_chunks_on_the_snapshot_path() {
     let (request, reply) = (recorded("snapshot_request")[0], recorded("snapshot_reply")[0]);
     let node = RecordingNode::start(reply).await;
-    let answer = node.client().await.install_snapshot(read(request), option()).await.expect("a reply");
-    node.was_called("/raft/snapshot", request);
-    assert_eq!(serde_json::to_string(&answer).expect("serializes"), unwrapped(reply));
+    let answer = node.client().await.install_snapshot(parse(request), rpc_option()).await.expect("a reply");
+    node.assert_called_once("/raft/snapshot", request);
+    assert_eq!(serde_json::to_string(&answer).expect("serializes"), ok_value(reply));
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,7 +1,7 @@
-//! Files that an earlier build left on disk are read with exactly what they hold: a list-service node's data directory
-//! (with a log only, and with a snapshot and a log) and a proxy's cached endpoint list.
+//! This build reads files that an earlier build wrote, without loss: a list-service node's data directory (with a log
+//! only, and with a snapshot and a log) and a proxy's cached endpoint list.
 //!
-//! The files in `fixtures/stored` were written by the build before the Rust names of this one. They are written anew by
+//! The files in `fixtures/stored` were written by the build before the Rust names of this one. To write them again:
 //!
 //! ```sh
 //! LINKHATCH_PREVIOUS_PROGRAM=PATH cargo test --release --test stored_data -- --ignored
@@ -22,39 +22,39 @@
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/stored");
 /// A node's directory with a log only.
 const LOG_ONLY: &str = "log";
-/// A node's directory with a snapshot and the log behind it.
+/// A node's directory with a snapshot and the log after it.
 const WITH_SNAPSHOT: &str = "snapshot";
-/// What the previous build answered on a node's directory.
+/// The previous build's answers from a node's directory.
 const ANSWERS: &str = "answers.json";
 /// The leases granted in a node's directory, with their tokens.
 const GRANTS: &str = "grants.json";
 /// A proxy's cached endpoint list.
 const LIST_CACHE: &str = "list-cache.json";
-/// The backends of the cached list that serve.
+/// The serving backends of the cached list.
 const SERVING_BACKENDS: [&str; 2] = ["127.0.0.1:20000", "127.0.0.1:20002"];
 const BACKENDS: u16 = 5;
 const TTL_MS: u64 = 300_000;
-/// The longest that a session may have; it is not renewed while a fixture is written or read.
+/// The maximum TTL of a session; the session is not renewed while a fixture is written or read.
 const SESSION_TTL_MS: u64 = 60_000;
-/// Weight changes after which the log has been written anew behind a snapshot.
+/// Enough weight changes for the log to be rewritten after a snapshot.
 const WEIGHT_CHANGES: u64 = 10_300;
 const WRITERS: u64 = 16;
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A directory of this test's own, empty.
-fn scratch(name: &str) -> PathBuf {
+/// Creates an empty directory for one test.
+fn scratch_dir(name: &str) -> PathBuf {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("stored-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).expect("a scratch directory");
     dir
 }
 
-fn start(program: &Path, data_dir: &Path) -> Service {
+fn start_node(program: &Path, data_dir: &Path) -> Service {
     let config = format!("listen = \"127.0.0.1:0\"\ndata_dir = \"{}\"\n", data_dir.display());
     let node = Service::node(program, &data_dir.with_extension("toml"), &config);
     let deadline = Instant::now() + TIMEOUT;
     while get(node.address(), "/v1/status")["leader"] != 1 {
-        assert!(Instant::now() < deadline, "the node leads");
+        assert!(Instant::now() < deadline, "the node did not become the leader in time");
         std::thread::sleep(Duration::from_millis(10));
     }
     node
@@ -72,7 +72,7 @@
     answer
 }
 
-/// All that a node answers from its store. What depends on the time since its start is left out.
+/// Everything that a node answers from its store, without the values that depend on the time since its start.
 fn answers(node: SocketAddr) -> Value {
     let mut fleet = get(node, "/v1/fleet");
     for session in fleet["sessions"].as_array_mut().expect("sessions") {
@@ -94,9 +94,9 @@
     })
 }
 
-/// Asserts that a node started on a fixture answers as before, and goes on from there.
-fn is_read_back(fixture: &str, has_snapshot: bool) {
-    let dir = scratch(fixture).join("node-1");
+/// Asserts that a node started on a fixture answers as the previous build did, and continues from there.
+fn assert_reads_back(fixture: &str, has_snapshot: bool) {
+    let dir = scratch_dir(fixture).join("node-1");
     let stored = Path::new(FIXTURES).join(fixture);
     std::fs::create_dir_all(&dir).expect("a data directory");
     for name in ["raft.log", "raft.mark", "raft.snapshot"] {
@@ -105,52 +105,52 @@
     }
     let text = std::fs::read_to_string(stored.join(ANSWERS)).expect("the answers before");
     let before: Value = serde_json::from_str(&text).expect("answers in JSON");
-    let node = start(program::current_program(), &dir);
-    let at = node.address();
-    assert_eq!(answers(at), before, "{fixture}");
+    let node = start_node(program::current_program(), &dir);
+    let node_address = node.address();
+    assert_eq!(answers(node_address), before, "{fixture}");
 
-    // The leases are held under the tokens that were granted: another holder is refused, and the owner renews.
-    let grants = granted(&stored);
+    // The leases are still held under the granted tokens: another holder is rejected, and the current one renews.
+    let grants = read_grants(&stored);
     for grant in &grants {
         let contender = json!({"name": grant["name"], "holder": "another", "ttlMs": TTL_MS});
-        let (status, body) = call(at, "POST", "/v1/lease/acquire", &contender).expect("an answer");
+        let (status, body) = call(node_address, "POST", "/v1/lease/acquire", &contender).expect("an answer");
         assert_eq!(status, 409, "{body}");
-        post(at, "/v1/lease/keepalive", &json!({"name": grant["name"], "token": grant["token"]}));
+        post(node_address, "/v1/lease/keepalive", &json!({"name": grant["name"], "token": grant["token"]}));
     }
     assert_eq!(grants.len(), 2);
     let session = &before["fleet"]["sessions"][0]["session"];
-    post(at, "/v1/session/renew", &json!({"session": session}));
+    post(node_address, "/v1/session/renew", &json!({"session": session}));
 
-    // Revisions go on by one.
+    // The next change increments the revision by one.
     let revision = before["status"]["revision"].as_u64().expect("a revision");
-    let written = post(at, "/v1/weight", &json!({"instanceId": "s-0", "weight": 7.5}));
+    let written = post(node_address, "/v1/weight", &json!({"instanceId": "s-0", "weight": 7.5}));
     assert_eq!(written["revision"], revision + 1);
     drop(node);
 
-    // And what this build has written on top of the old files it reads back too.
-    let node = start(program::current_program(), &dir);
+    // This build also reads back what it has added to the old files.
+    let node = start_node(program::current_program(), &dir);
     assert_eq!(get(node.address(), "/v1/status")["revision"], revision + 1);
     drop(node);
     let _ = std::fs::remove_dir_all(dir.parent().expect("a parent"));
 }
 
-/// The leases of a fixture with their tokens, as they were granted.
-fn granted(stored: &Path) -> Vec<Value> {
+/// Reads the leases granted in a fixture, with their tokens.
+fn read_grants(stored: &Path) -> Vec<Value> {
     let text = std::fs::read_to_string(stored.join(GRANTS)).expect("the grants");
     serde_json::from_str(&text).expect("grants in JSON")
 }
 
 #[test]
 fn a_log_of_the_previous_build_is_read_back_in_full() {
-    is_read_back(LOG_ONLY, false);
+    assert_reads_back(LOG_ONLY, false);
 }
 
 #[test]
 fn a_snapshot_of_the_previous_build_is_read_back_in_full() {
-    is_read_back(WITH_SNAPSHOT, true);
+    assert_reads_back(WITH_SNAPSHOT, true);
 }
 
-/// A proxy's configuration that knows no backend, with its list cached in `cache`.
+/// A proxy's configuration without backends; the proxy caches its list in `cache`.
 fn proxy_config(cache: &Path) -> String {
     let empty = json!({"generation": 0, "reset": true, "instances": []});
     let mut config: Value =
@@ -160,17 +160,17 @@
     config.to_string()
 }
 
-/// A port that nobody listens on: no list service is reached there.
-fn nobody() -> SocketAddr {
+/// An address on which nothing listens, for a list service that cannot be reached.
+fn unused_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a loopback port");
     listener.local_addr().expect("a bound address")
 }
 
 #[test]
 fn a_proxy_starts_on_the_list_that_the_previous_build_cached() {
-    let dir = scratch("cache-read");
+    let dir = scratch_dir("cache-read");
     let mut list = std::fs::read_to_string(Path::new(FIXTURES).join(LIST_CACHE)).expect("a cached list");
-    // The two backends that serve; the third is draining, and nothing listens there.
+    // Starts the two serving backends; the third is draining, and nothing listens on its address.
     let backends: Vec<Backend> = SERVING_BACKENDS
         .iter()
         .map(|stored| {
@@ -183,10 +183,11 @@
     let cache = dir.join("list.json");
     std::fs::write(&cache, list).expect("a cached list");
     let config = proxy_config(&cache);
-    let proxy = Service::proxy(program::current_program(), &dir.join("proxy.json"), &config, nobody());
+    let proxy =
+        Service::proxy(program::current_program(), &dir.join("proxy.json"), &config, unused_address());
     let deadline = Instant::now() + TIMEOUT;
     while call(proxy.address(), "GET", "/-/ready", &Value::Null).is_none_or(|(status, _)| status != 200) {
-        assert!(Instant::now() < deadline, "the proxy is ready");
+        assert!(Instant::now() < deadline, "the proxy did not become ready in time");
         std::thread::sleep(Duration::from_millis(10));
     }
     let load =
@@ -198,19 +199,20 @@
     let _ = std::fs::remove_dir_all(dir);
 }
 
-/// Starts a node and a proxy of `program`, lists the backends of the fixture, and returns the list that the proxy caches.
+/// Starts a node and a proxy of `program`, registers the fixture's backends, and returns the list that the proxy
+/// caches.
 fn cached_list(program: &Path, name: &str) -> String {
-    let dir = scratch(name);
-    let node = start(program, &dir.join("node-1"));
-    let at = node.address();
+    let dir = scratch_dir(name);
+    let node = start_node(program, &dir.join("node-1"));
+    let node_address = node.address();
     for n in 0..3 {
         let address = SocketAddr::from(([127, 0, 0, 1], 20_000 + n));
-        post(at, "/v1/register", &registration(&format!("s-{n}"), address, TTL_MS));
+        post(node_address, "/v1/register", &registration(&format!("s-{n}"), address, TTL_MS));
     }
-    post(at, "/v1/weight", &json!({"instanceId": "s-2", "weight": 2.5}));
-    let revision = post(at, "/v1/drain", &json!({"instanceId": "s-1"}))["revision"].take();
+    post(node_address, "/v1/weight", &json!({"instanceId": "s-2", "weight": 2.5}));
+    let revision = post(node_address, "/v1/drain", &json!({"instanceId": "s-1"}))["revision"].take();
     let cache = dir.join("list.json");
-    let proxy = Service::proxy(program, &dir.join("proxy.json"), &proxy_config(&cache), at);
+    let proxy = Service::proxy(program, &dir.join("proxy.json"), &proxy_config(&cache), node_address);
     let deadline = Instant::now() + TIMEOUT;
     let text = loop {
         let text = std::fs::read_to_string(&cache).unwrap_or_default();
@@ -218,7 +220,7 @@
         if list["generation"] == revision {
             break text;
         }
-        assert!(Instant::now() < deadline, "the list is cached: {text}");
+        assert!(Instant::now() < deadline, "the list was not cached in time: {text}");
         std::thread::sleep(Duration::from_millis(20));
     };
     drop((proxy, node));
@@ -251,74 +253,82 @@
     })
 }
 
-/// Writes one of everything that a node stores; returns the leases granted.
-fn write_one_of_each(at: SocketAddr) -> Vec<Value> {
+/// Writes one of everything that a node stores; returns the granted leases.
+fn write_one_of_each(node_address: SocketAddr) -> Vec<Value> {
     for n in 0..BACKENDS {
         let address = SocketAddr::from(([127, 0, 0, 1], 20_000 + n));
-        post(at, "/v1/register", &registration(&format!("s-{n}"), address, TTL_MS));
+        post(node_address, "/v1/register", &registration(&format!("s-{n}"), address, TTL_MS));
     }
-    post(at, "/v1/drain", &json!({"instanceId": "s-1"}));
-    post(at, "/v1/weight", &json!({"instanceId": "s-2", "weight": 2.5}));
-    post(at, "/v1/deregister", &json!({"instanceId": "s-4"}));
+    post(node_address, "/v1/drain", &json!({"instanceId": "s-1"}));
+    post(node_address, "/v1/weight", &json!({"instanceId": "s-2", "weight": 2.5}));
+    post(node_address, "/v1/deregister", &json!({"instanceId": "s-4"}));
     let grants = ["warm:s-0", "warm:s-2"].map(|name| {
-        let granted = post(at, "/v1/lease/acquire", &json!({"name": name, "holder": "h-1", "ttlMs": TTL_MS}));
+        let granted =
+            post(node_address, "/v1/lease/acquire", &json!({"name": name, "holder": "h-1", "ttlMs": TTL_MS}));
         json!({"name": name, "token": granted["token"]})
     });
-    let released =
-        post(at, "/v1/lease/acquire", &json!({"name": "warm:s-3", "holder": "h-2", "ttlMs": TTL_MS}));
-    post(at, "/v1/lease/release", &json!({"name": "warm:s-3", "token": released["token"]}));
+    let released = post(
+        node_address,
+        "/v1/lease/acquire",
+        &json!({"name": "warm:s-3", "holder": "h-2", "ttlMs": TTL_MS}),
+    );
+    post(node_address, "/v1/lease/release", &json!({"name": "warm:s-3", "token": released["token"]}));
 
     let first = json!({"parent": 0, "by": "kim", "note": "first", "document": document(5)});
-    let first = post(at, "/v1/settings", &first)["version"].take();
+    let first = post(node_address, "/v1/settings", &first)["version"].take();
     let session = json!({"name": "p-1", "ttlMs": SESSION_TTL_MS, "holds": first});
-    let session = post(at, "/v1/session/open", &session)["session"].take();
+    let session = post(node_address, "/v1/session/open", &session)["session"].take();
     let second = json!({"parent": first, "by": "lee", "document": document(3)});
-    let second = post(at, "/v1/settings", &second)["version"].take();
-    // The acknowledgement of the version offered: it is then committed.
-    post(at, "/v1/session/renew", &json!({"session": session, "holds": second, "inForce": first}));
+    let second = post(node_address, "/v1/settings", &second)["version"].take();
+    // Acknowledges the offered version, which is then committed.
+    post(node_address, "/v1/session/renew", &json!({"session": session, "holds": second, "inForce": first}));
     let third = json!({"parent": second, "by": "lee", "note": "refused", "document": document(4)});
-    let third = post(at, "/v1/settings", &third)["version"].take();
+    let third = post(node_address, "/v1/settings", &third)["version"].take();
     post(
-        at,
+        node_address,
         "/v1/session/refuse",
         &json!({"session": session, "name": "p-1", "version": third, "why": "no"}),
     );
-    let closed = json!({"name": "p-2", "ttlMs": SESSION_TTL_MS, "holds": second});
-    let closed = post(at, "/v1/session/open", &closed)["session"].take();
-    post(at, "/v1/session/close", &json!({"session": closed}));
+    let closed_session = json!({"name": "p-2", "ttlMs": SESSION_TTL_MS, "holds": second});
+    let closed_session = post(node_address, "/v1/session/open", &closed_session)["session"].take();
+    post(node_address, "/v1/session/close", &json!({"session": closed_session}));
     grants.to_vec()
 }
 
 /// Waits until the node has nothing more to write by itself.
-fn comes_to_rest(at: SocketAddr) {
+fn wait_until_idle(node_address: SocketAddr) {
     let deadline = Instant::now() + TIMEOUT;
     loop {
-        let before = answers(at);
+        let before = answers(node_address);
         std::thread::sleep(Duration::from_millis(500));
-        if answers(at) == before {
+        if answers(node_address) == before {
             return;
         }
-        assert!(Instant::now() < deadline, "the node comes to rest");
+        assert!(Instant::now() < deadline, "the node did not become idle in time");
     }
 }
 
 fn write_fixture(program: &Path, fixture: &str, weight_changes: u64) {
-    let dir = scratch(fixture).join("node-1");
+    let dir = scratch_dir(fixture).join("node-1");
     let stored = Path::new(FIXTURES).join(fixture);
-    let node = start(program, &dir);
-    let at = node.address();
-    let grants = write_one_of_each(at);
+    let node = start_node(program, &dir);
+    let node_address = node.address();
+    let grants = write_one_of_each(node_address);
     let writers: Vec<_> = (0..WRITERS)
         .map(|writer| {
             std::thread::spawn(move || {
                 for n in (writer..weight_changes).step_by(WRITERS as usize) {
-                    post(at, "/v1/weight", &json!({"instanceId": "s-3", "weight": 1.0 + (n % 900) as f64}));
+                    post(
+                        node_address,
+                        "/v1/weight",
+                        &json!({"instanceId": "s-3", "weight": 1.0 + (n % 900) as f64}),
+                    );
                 }
             })
         })
         .collect();
     writers.into_iter().for_each(|writer| writer.join().expect("a writer ends"));
-    comes_to_rest(at);
+    wait_until_idle(node_address);
     drop(node);
     std::fs::create_dir_all(&stored).expect("a fixture's directory");
     for name in ["raft.log", "raft.mark", "raft.snapshot"] {
@@ -326,8 +336,8 @@
             std::fs::copy(dir.join(name), stored.join(name)).expect("a fixture's file");
         }
     }
-    // What it answers once it has read its own files.
-    let node = start(program, &dir);
+    // The answers after the node has read its own files.
+    let node = start_node(program, &dir);
     let answers = answers(node.address());
     drop(node);
     let text = |value: &Value| format!("{value:#}\n");
@@ -337,7 +347,7 @@
 }
 
 #[test]
-#[ignore = "writes the fixtures anew with the previous build"]
+#[ignore = "writes the fixtures again with the previous build"]
 fn write_the_fixtures_with_the_previous_build() {
     let program = program::previous_program();
     write_fixture(&program, LOG_ONLY, 0);
