--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -64,14 +64,14 @@
     // The watchers connect to the nodes directly, because the harness's relays use a thread for each connection.
     let nodes: Vec<SocketAddr> = (0..3).filter_map(|n| cluster.node(n).map(|p| p.address())).collect();
     let watchers = Watchers::start(&nodes, WATCHER_COUNT);
-    watchers.reached(last_revision, TIMEOUT);
+    watchers.wait_for_revision(last_revision, TIMEOUT);
     let (mut write_times, mut delays) = (Vec::new(), Vec::new());
     for n in 0..WEIGHT_CHANGE_COUNT {
         let weight = json!({"instanceId": format!("s-{}", n % 100), "weight": 1.0 + (n / 100 + 1) as f64});
         let sent_at = Instant::now();
         let revision = write(nodes[n % 3], "/v1/weight", &weight).expect("acknowledged");
         write_times.push(sent_at.elapsed());
-        watchers.reached(revision, TIMEOUT);
+        watchers.wait_for_revision(revision, TIMEOUT);
         delays.extend(watchers.delays(revision, sent_at));
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -97,7 +97,7 @@
     let first =
         write(cluster.front(0), "/v1/register", &registration("s", address, 300_000)).expect("registered");
     let watchers = Watchers::start(&cluster.fronts(), WATCHER_COUNT);
-    watchers.reached(first, TIMEOUT);
+    watchers.wait_for_revision(first, TIMEOUT);
     let mut delays = Vec::new();
     for kill in 0..LEADER_KILL_COUNT {
         let leader = cluster.leader();
@@ -112,7 +112,7 @@
             }
             assert!(killed_at.elapsed() < TIMEOUT, "no node acknowledges the write");
         };
-        watchers.reached(revision, TIMEOUT);
+        watchers.wait_for_revision(revision, TIMEOUT);
         delays.extend(watchers.delays(revision, killed_at));
         cluster.start_node(fleet, leader, "").expect("the node starts again");
         cluster.agreed(revision, TIMEOUT);
@@ -184,7 +184,7 @@
     let pid = node.id().expect("a process");
     let before = resources(pid);
     let watchers = Watchers::start(&[address], 1_000);
-    watchers.reached(101, TIMEOUT);
+    watchers.wait_for_revision(101, TIMEOUT);
     let deadline = Instant::now() + TIMEOUT;
     while call(address, "GET", "/v1/status", &Value::Null)
         .is_none_or(|(_, status)| status["watching"] != 1_000)
--- a/tests/fleet/crowds.rs
+++ b/tests/fleet/crowds.rs
@@ -215,7 +215,7 @@
     /// Sends one request, and opens a connection where there is none.
     fn request(&mut self, kind: Kind) -> Record {
         let (number, id) = next_id();
-        let text = client::text(kind, &id, number, REMAINING_MS);
+        let text = client::request_text(kind, &id, number, REMAINING_MS);
         let timeout = Duration::from_millis(REMAINING_MS) + ANSWER_SLACK;
         let (pace, held, start) = (self.pace, self.held.take(), Instant::now());
         let rested = held.as_ref().map(|(_, used)| start.duration_since(*used));
@@ -297,7 +297,7 @@
 
 impl Habit {
     fn opening(self, number: u64, id: &str) -> String {
-        let request = client::text(Kind::Status, id, number, REMAINING_MS);
+        let request = client::request_text(Kind::Status, id, number, REMAINING_MS);
         match self {
             Self::AsksOnce => request,
             Self::SendsHalfAHead => request[..request.len() / 2].to_string(),
--- a/tests/fleet/duties.rs
+++ b/tests/fleet/duties.rs
@@ -1,7 +1,7 @@
-//! Duties held by a lease, on real processes: a holder paused past its TTL, one cut from the list service
-//! but not from the resource, two contenders started together, a fast clock with renewals lost. Each test
-//! asserts from the resource's record that no two holders' valid acts overlapped, what was fenced off, and
-//! that the duty was taken over within the bound.
+//! Duties held by a lease, with real processes: a holder paused past its TTL, a holder cut from the list service but not
+//! from the resource, two contenders started together, and a fast clock with lost renewals. Each test asserts from the
+//! resource's record that no valid acts of two holders overlapped, which acts were fenced off, and that the duty was
+//! taken over within the bound.
 
 use crate::harness;
 use crate::harness::cluster::Cluster;
@@ -18,24 +18,24 @@
 const TTL_MS: u64 = 1000;
 const RETRY_MS: u64 = 100;
 const ACT_INTERVAL_MS: u64 = 20;
-/// The longest time from a holder's fault to the first act of the next: the TTL (its last renewal reached the service before
-/// the fault), the contender's retry, its call, one act's interval, and 100 ms for a loaded machine.
+/// The longest time from a holder's fault to the next holder's first act: the TTL (the last renewal reached the service
+/// before the fault), the contender's retry, its call, one act interval, and 100 ms for a loaded machine.
 const HANDOVER_BOUND: Duration = Duration::from_millis(TTL_MS + RETRY_MS + ACT_INTERVAL_MS + 100);
 
 fn holder_config(registry: SocketAddr, name: &str, holder: &str, target: SocketAddr, rate: f64) -> String {
-    config_of(registry, name, holder, target, rate, TTL_MS)
+    holder_config_with_ttl(registry, name, holder, target, rate, TTL_MS)
 }
 
-fn config_of(
+fn holder_config_with_ttl(
     registry: SocketAddr,
     name: &str,
     holder: &str,
     target: SocketAddr,
     rate: f64,
-    ttl: u64,
+    ttl_ms: u64,
 ) -> String {
     format!(
-        "registry = [\"{registry}\"]\nname = \"{name}\"\nholder = \"{holder}\"\nttl_ms = {ttl}\n\
+        "registry = [\"{registry}\"]\nname = \"{name}\"\nholder = \"{holder}\"\nttl_ms = {ttl_ms}\n\
          retry_ms = {RETRY_MS}\nclock_rate = {rate}\n[duty]\ntarget = \"{target}\"\nevery_ms = {ACT_INTERVAL_MS}\n"
     )
 }
@@ -45,9 +45,9 @@
     (list, Resource::start().expect("the resource starts"))
 }
 
-/// Lets time pass for the processes to act in; what they did is judged from the record, not from this.
-fn pass(time: Duration) {
-    std::thread::sleep(time);
+/// Sleeps while the processes act; the tests judge the acts by the record.
+fn sleep(duration: Duration) {
+    std::thread::sleep(duration);
 }
 
 #[test]
@@ -55,19 +55,19 @@
     let mut fleet = harness::fleet(Duration::from_secs(30));
     let (list, resource) = start(&mut fleet);
     let a = fleet.holder(&holder_config(list.address(), "warm", "h-a", resource.address(), 1.0)).unwrap();
-    let (first, _) = resource.first_above(0, Duration::from_secs(3)).expect("the first holder acts");
+    let (first, _) = resource.first_admitted_above(0, Duration::from_secs(3)).expect("the first holder acts");
     let mut b = fleet.holder(&holder_config(list.address(), "warm", "h-b", resource.address(), 1.0)).unwrap();
-    pass(Duration::from_millis(600));
-    assert!(resource.acts().iter().all(|act| act.holder == "h-a"), "only the holder acts");
+    sleep(Duration::from_millis(600));
+    assert!(resource.acts().iter().all(|act| act.holder == "h-a"), "only the first holder acts");
 
     a.signal(Signal::SIGSTOP);
     let stopped = Instant::now();
     let (second, taken_over_at) =
-        resource.first_above(first, Duration::from_secs(5)).expect("the duty is taken over");
+        resource.first_admitted_above(first, Duration::from_secs(5)).expect("the duty is taken over");
     let handover = taken_over_at - stopped;
-    pass((stopped + Duration::from_millis(2500)).saturating_duration_since(Instant::now()));
+    sleep((stopped + Duration::from_millis(2500)).saturating_duration_since(Instant::now()));
     a.signal(Signal::SIGCONT);
-    pass(Duration::from_millis(600));
+    sleep(Duration::from_millis(600));
 
     let acts = resource.acts();
     let tally = resource::tally(&acts);
@@ -82,10 +82,10 @@
     assert_eq!(stale_admitted, 0, "the resumed holder's acts, if any, are fenced off");
     assert_eq!(acts.iter().filter(|act| act.holder == "h-b" && act.token != second).count(), 0);
 
-    // The resumed holder knows it lost the duty, and contends again: it takes over from the next holder.
+    // The resumed holder has found that it lost the duty and contends again: it takes over from the next holder.
     b.kill();
     let (third, _) =
-        resource.first_above(second, Duration::from_secs(3)).expect("the resumed holder takes over");
+        resource.first_admitted_above(second, Duration::from_secs(3)).expect("the resumed holder takes over");
     let acts = resource.acts();
     assert!(acts.iter().any(|act| act.token == third && act.holder == "h-a" && act.admitted));
     assert_eq!(resource::tally(&acts).overlapping, 0);
@@ -98,27 +98,28 @@
     let (list, resource) = start(&mut fleet);
     let relay = Relay::start(list.address()).expect("the relay starts");
     let _a = fleet.holder(&holder_config(relay.address(), "warm", "h-a", resource.address(), 1.0)).unwrap();
-    let (first, _) = resource.first_above(0, Duration::from_secs(3)).expect("the first holder acts");
+    let (first, _) = resource.first_admitted_above(0, Duration::from_secs(3)).expect("the first holder acts");
     let _b = fleet.holder(&holder_config(list.address(), "warm", "h-b", resource.address(), 1.0)).unwrap();
-    pass(Duration::from_millis(600));
+    sleep(Duration::from_millis(600));
 
-    // Cut from the list service, not from the resource: it must stop by its own bound.
+    // The holder is cut from the list service but not from the resource, so it must stop by its own bound.
     relay.set(Fault::BlackHole);
     let cut = Instant::now();
     let (_, taken_over_at) =
-        resource.first_above(first, Duration::from_secs(5)).expect("the duty is taken over");
+        resource.first_admitted_above(first, Duration::from_secs(5)).expect("the duty is taken over");
     let handover = taken_over_at - cut;
-    pass(Duration::from_millis(1000));
+    sleep(Duration::from_millis(1000));
 
     let acts = resource.acts();
     let tally = resource::tally(&acts);
-    let last_of_a = acts.iter().filter(|act| act.holder == "h-a").map(|act| act.at).max().expect("it acted");
+    let last_act_of_a =
+        acts.iter().filter(|act| act.holder == "h-a").map(|act| act.at).max().expect("it acted");
     eprintln!(
-        "cut holder: handover {handover:?}, quiet {:?} before the next acted, {tally:?}",
-        taken_over_at.saturating_duration_since(last_of_a)
+        "cut holder: handover {handover:?}, no acts for {:?} before the next holder acted, {tally:?}",
+        taken_over_at.saturating_duration_since(last_act_of_a)
     );
     assert!(handover <= HANDOVER_BOUND, "handed over in {handover:?}");
-    assert!(last_of_a < taken_over_at, "the cut holder stopped before the next one acted");
+    assert!(last_act_of_a < taken_over_at, "the cut holder stopped before the next holder acted");
     assert_eq!((tally.late, tally.fenced, tally.overlapping, tally.tokens), (0, 0, 0, 2), "{tally:?}");
     fleet.check_deadline();
 }
@@ -136,8 +137,8 @@
             .iter()
             .map(|h| fleet.holder(&holder_config(list.address(), &name, h, resource.address(), 1.0)).unwrap())
             .collect();
-        resource.first_above(0, Duration::from_secs(3)).expect("one contender acts");
-        pass(Duration::from_millis(250));
+        resource.first_admitted_above(0, Duration::from_secs(3)).expect("one contender acts");
+        sleep(Duration::from_millis(250));
         let acts = resource.acts();
         let tally = resource::tally(&acts);
         assert_eq!((tally.tokens, tally.late, tally.fenced, tally.overlapping), (1, 0, 0, 0), "{tally:?}");
@@ -145,7 +146,7 @@
         drop(contenders);
     }
     eprintln!(
-        "two contenders, {ROUNDS} rounds: won by the first started {}, the second {}",
+        "two contenders, {ROUNDS} rounds: the contender started first won {}, the second {}",
         winners[0], winners[1]
     );
     fleet.check_deadline();
@@ -158,88 +159,97 @@
     let relay = Relay::start(list.address()).expect("the relay starts");
     let mut a =
         fleet.holder(&holder_config(relay.address(), "warm", "h-a", resource.address(), 1.02)).unwrap();
-    let (first, _) = resource.first_above(0, Duration::from_secs(3)).expect("the first holder acts");
+    let (first, _) = resource.first_admitted_above(0, Duration::from_secs(3)).expect("the first holder acts");
     relay.set(Fault::Drop { one_in: 3 });
-    // The other's clock runs 2% slow, within the 5% that the bound allows for.
+    // The contender's clock runs 2% slow, within the 5% that the bound allows.
     let _b = fleet.holder(&holder_config(list.address(), "warm", "h-b", resource.address(), 0.98)).unwrap();
-    pass(Duration::from_millis(3000));
-    let kept = resource::tally(&resource.acts());
+    sleep(Duration::from_millis(3000));
+    let before_kill = resource::tally(&resource.acts());
     let dropped = relay.counts().dropped.load(Ordering::SeqCst);
     let accepted = relay.counts().accepted.load(Ordering::SeqCst);
 
     a.kill();
     let killed = Instant::now();
     let (_, taken_over_at) =
-        resource.first_above(first, Duration::from_secs(5)).expect("the duty is taken over");
+        resource.first_admitted_above(first, Duration::from_secs(5)).expect("the duty is taken over");
     let handover = taken_over_at - killed;
     let tally = resource::tally(&resource.acts());
     eprintln!(
         "fast clock, lost renewals: {dropped} of {accepted} calls lost, handover {handover:?}, {tally:?}"
     );
     assert!(dropped >= 2, "renewals were lost: {dropped} of {accepted}");
-    assert_eq!(kept.tokens, 1, "the holder kept its duty through lost renewals: {kept:?}");
+    assert_eq!(before_kill.tokens, 1, "the holder kept its duty through lost renewals: {before_kill:?}");
     assert!(handover <= HANDOVER_BOUND, "handed over in {handover:?}");
     assert_eq!((tally.late, tally.fenced, tally.overlapping, tally.tokens), (0, 0, 0, 2), "{tally:?}");
     fleet.check_deadline();
 }
 
-/// A leader killed under a holder's renewals, three times over, at different times into a renewal's interval: the
-/// holder keeps its duty or another takes it, and no two act.
+/// The leader is killed during a holder's renewals, three times, at different points of the renewal interval: the holder
+/// keeps its duty or the other takes it over, and never do both act.
 #[test]
 fn a_leader_change_during_renewals_leaves_one_holder() {
     const ROUNDS: u64 = 3;
-    const TTL: u64 = 2_000;
-    /// Longest silence of the duty: the TTL where the holder lapses, an election, and a call that meets it.
-    const SILENCE: Duration = Duration::from_millis(TTL + 1_500);
+    const LEADER_CHANGE_TTL_MS: u64 = 2_000;
+    /// The longest time without an act: the TTL if the lease expires, an election, and a call that fails during it.
+    const MAX_IDLE: Duration = Duration::from_millis(LEADER_CHANGE_TTL_MS + 1_500);
     let mut fleet = harness::fleet(Duration::from_secs(60));
     let mut cluster = Cluster::start(&mut fleet, 3, "");
     cluster.leader();
     let resource = Resource::start().expect("the resource starts");
     let nodes: Vec<String> = cluster.fronts().iter().map(|a| format!("\"{a}\"")).collect();
     let config = |holder: &str, rate: f64| {
-        let one = config_of(cluster.front(0), "warm", holder, resource.address(), rate, TTL);
-        one.replacen(&format!("[\"{}\"]", cluster.front(0)), &format!("[{}]", nodes.join(", ")), 1)
+        let single_node = holder_config_with_ttl(
+            cluster.front(0),
+            "warm",
+            holder,
+            resource.address(),
+            rate,
+            LEADER_CHANGE_TTL_MS,
+        );
+        single_node.replacen(&format!("[\"{}\"]", cluster.front(0)), &format!("[{}]", nodes.join(", ")), 1)
     };
     let _a = fleet.holder(&config("h-a", 0.98)).expect("a holder starts");
-    resource.first_above(0, Duration::from_secs(5)).expect("the first holder acts");
-    let _b = fleet.holder(&config("h-b", 1.02)).expect("another starts");
-    let mut kept = 0;
+    resource.first_admitted_above(0, Duration::from_secs(5)).expect("the first holder acts");
+    let _b = fleet.holder(&config("h-b", 1.02)).expect("a contender starts");
+    let mut kept_duty = 0;
     for round in 0..ROUNDS {
-        pass(Duration::from_millis(700 + round * TTL / 3 / ROUNDS));
+        sleep(Duration::from_millis(700 + round * LEADER_CHANGE_TTL_MS / 3 / ROUNDS));
         let token = resource.acts().last().map(|act| act.token).expect("acts");
         let leader = cluster.leader();
         cluster.kill(leader);
-        pass(SILENCE);
+        sleep(MAX_IDLE);
         cluster.start_node(&mut fleet, leader, "").expect("the node starts again");
-        kept += u64::from(resource.acts().last().is_some_and(|act| act.token == token));
+        kept_duty += u64::from(resource.acts().last().is_some_and(|act| act.token == token));
     }
     let acts = resource.acts();
     let tally = resource::tally(&acts);
-    let silence = acts.windows(2).map(|w| w[1].at - w[0].at).max().expect("acts");
-    eprintln!("{ROUNDS} leader changes: kept {kept} times, longest silence {silence:?}, {tally:?}");
+    let longest_idle = acts.windows(2).map(|w| w[1].at - w[0].at).max().expect("acts");
+    eprintln!(
+        "{ROUNDS} leader changes: duty kept {kept_duty} times, longest time without an act {longest_idle:?}, {tally:?}"
+    );
     assert_eq!((tally.late, tally.fenced, tally.overlapping), (0, 0, 0), "{tally:?}");
-    assert!(silence <= SILENCE, "the duty lay idle for {silence:?}");
-    assert!(acts.last().is_some_and(|act| act.at.elapsed() < SILENCE), "it is held at the end");
+    assert!(longest_idle <= MAX_IDLE, "no act for {longest_idle:?}");
+    assert!(acts.last().is_some_and(|act| act.at.elapsed() < MAX_IDLE), "a holder acts at the end");
     fleet.check_deadline();
 }
 
-/// What one randomized run showed.
+/// The results of one randomized run.
 struct RunFigures {
     tally: resource::Tally,
     handover: Option<Duration>,
-    /// Calls each process made to the list service, per second of the run, holding or contending.
+    /// The mean number of calls per second that a process made to the list service, holding or contending.
     calls_per_second: f64,
-    /// Calls of the one holding, per second, before its fault: its renewals.
-    renews_per_second: f64,
+    /// The holder's calls per second before its fault, which are renewals.
+    renewals_per_second: f64,
 }
 
-/// The TTL of the randomized runs: the shortest the list service grants, so that runs are short.
+/// The TTL of the randomized runs: the shortest that the list service grants, which keeps the runs short.
 const RUN_TTL_MS: u64 = 500;
-const RUN_BOUND: Duration = Duration::from_millis(RUN_TTL_MS + RETRY_MS + ACT_INTERVAL_MS + 100);
+const RUN_HANDOVER_BOUND: Duration = Duration::from_millis(RUN_TTL_MS + RETRY_MS + ACT_INTERVAL_MS + 100);
 
-/// One run: three holders, each behind its own relay to the list service and with a clock up to 2% off
-/// either way; the one acting is killed, paused or cut from the list service for 0.2 to 1.5 s, then let be.
-fn one_run(list: SocketAddr, run: u64, rng: &mut SmallRng) -> RunFigures {
+/// Runs three holders, each with its own relay to the list service and a clock up to 2% fast or slow. The acting one is
+/// killed, or paused or cut from the list service for 0.2 to 1.5 s.
+fn randomized_run(list: SocketAddr, run: u64, rng: &mut SmallRng) -> RunFigures {
     let mut fleet = harness::fleet(Duration::from_secs(20));
     let resource = Resource::start().expect("the resource starts");
     let relays: Vec<Relay> = (0..3).map(|_| Relay::start(list).expect("a relay starts")).collect();
@@ -249,7 +259,7 @@
         .enumerate()
         .map(|(n, relay)| {
             let rate = rng.random_range(0.98..=1.02);
-            let config = config_of(
+            let config = holder_config_with_ttl(
                 relay.address(),
                 &format!("run-{run}"),
                 &format!("h-{n}"),
@@ -260,18 +270,18 @@
             fleet.holder(&config).expect("a holder starts")
         })
         .collect();
-    let (token, _) = resource.first_above(0, Duration::from_secs(3)).expect("a holder acts");
+    let (token, _) = resource.first_admitted_above(0, Duration::from_secs(3)).expect("a holder acts");
     let acting =
         resource.acts().iter().find(|a| a.token == token).map(|a| a.holder.clone()).unwrap_or_default();
     let n: usize = acting.trim_start_matches("h-").parse().expect("a holder's name");
-    // Held a while first, to count its renewals: the calls of the one that holds, per second.
-    let held_from = relays[n].counts().accepted.load(Ordering::SeqCst);
-    let held = Duration::from_millis(rng.random_range(300..800));
-    let holding = Instant::now();
-    pass(held);
-    let renewals = relays[n].counts().accepted.load(Ordering::SeqCst) - held_from;
-    let renews_per_second = renewals as f64 / holding.elapsed().as_secs_f64();
-    let length = Duration::from_millis(rng.random_range(200..1500));
+    // First counts the holder's calls for a while: they are its renewals.
+    let calls_before = relays[n].counts().accepted.load(Ordering::SeqCst);
+    let count_duration = Duration::from_millis(rng.random_range(300..800));
+    let count_started_at = Instant::now();
+    sleep(count_duration);
+    let renewals = relays[n].counts().accepted.load(Ordering::SeqCst) - calls_before;
+    let renewals_per_second = renewals as f64 / count_started_at.elapsed().as_secs_f64();
+    let fault_duration = Duration::from_millis(rng.random_range(200..1500));
     let fault = rng.random_range(0..3);
     let fault_at = Instant::now();
     match fault {
@@ -279,11 +289,11 @@
         1 => holders[n].signal(Signal::SIGSTOP),
         _ => relays[n].set(Fault::BlackHole),
     }
-    // The fault is lifted at its length whether or not the duty was taken over meanwhile.
+    // The fault is lifted after its duration, whether or not the duty has been taken over.
     let (mut taken_over_at, mut lifted) = (None, false);
     loop {
         let now = Instant::now();
-        if !lifted && now >= fault_at + length {
+        if !lifted && now >= fault_at + fault_duration {
             match fault {
                 1 => holders[n].signal(Signal::SIGCONT),
                 2 => relays[n].set(Fault::Pass),
@@ -292,30 +302,30 @@
             lifted = true;
         }
         if taken_over_at.is_none() {
-            taken_over_at = resource.first_above(token, Duration::from_millis(5));
+            taken_over_at = resource.first_admitted_above(token, Duration::from_millis(5));
         }
-        if lifted && (taken_over_at.is_some() || now >= fault_at + length + RUN_BOUND) {
+        if lifted && (taken_over_at.is_some() || now >= fault_at + fault_duration + RUN_HANDOVER_BOUND) {
             break;
         }
     }
-    pass(Duration::from_millis(300));
+    sleep(Duration::from_millis(300));
     let tally = resource::tally(&resource.acts());
     let calls: u64 = relays.iter().map(|r| r.counts().accepted.load(Ordering::SeqCst)).sum();
     let calls_per_second = calls as f64 / 3.0 / started_at.elapsed().as_secs_f64();
     drop(holders);
     fleet.check_deadline();
-    // A fault shorter than the TTL may end before anyone else may take the duty over.
+    // A fault shorter than the TTL may end before another holder may take over the duty.
     RunFigures {
         tally,
         handover: taken_over_at.map(|(_, at)| at - fault_at),
         calls_per_second,
-        renews_per_second,
+        renewals_per_second,
     }
 }
 
-/// Randomized kill, pause and partition runs, on 4 threads with a list service each. `DUTY_RUNS` sets how
-/// many (default 8, for CI; the figures of the closing note are of 1,000). Seeded, so each run's schedule is
-/// the same every time; the processes' timing is the machine's.
+/// Randomized runs with kills, pauses and partitions, on 4 threads with one list service each. `DUTY_RUNS` sets their
+/// number (default 8, for CI; the reported figures are from 1,000). The schedule of each run is seeded and repeats;
+/// the timing of the processes depends on the machine.
 #[test]
 fn randomized_kills_pauses_and_partitions_never_let_two_holders_act() {
     const THREADS: u64 = 4;
@@ -323,13 +333,13 @@
     let workers: Vec<_> = (0..THREADS)
         .map(|worker| {
             std::thread::spawn(move || {
-                // Started on this thread, which lives as long as the list service must (parent-death signal).
+                // Started on this thread: the list service gets the parent-death signal when the thread ends.
                 let mut fleet = harness::fleet(Duration::from_secs(3600));
                 let list = fleet.registry("listen = \"127.0.0.1:0\"\n").expect("the list service starts");
                 let mut rng = SmallRng::seed_from_u64(0xd07e + worker);
                 let figures: Vec<RunFigures> = (worker..runs)
                     .step_by(THREADS as usize)
-                    .map(|run| one_run(list.address(), run, &mut rng))
+                    .map(|run| randomized_run(list.address(), run, &mut rng))
                     .collect();
                 fleet.check_deadline();
                 figures
@@ -341,25 +351,26 @@
     let sum = |f: fn(&resource::Tally) -> usize| figures.iter().map(|r| f(&r.tally)).sum::<usize>();
     let mut handovers: Vec<Duration> = figures.iter().filter_map(|r| r.handover).collect();
     handovers.sort();
-    let at = |q: f64| {
+    let quantile = |q: f64| {
         handovers.get(((handovers.len() as f64 * q) as usize).min(handovers.len().saturating_sub(1)))
     };
     let mean = |f: fn(&RunFigures) -> f64| figures.iter().map(f).sum::<f64>() / figures.len().max(1) as f64;
-    let (calls, renews) = (mean(|r| r.calls_per_second), mean(|r| r.renews_per_second));
+    let (calls, renewals) = (mean(|r| r.calls_per_second), mean(|r| r.renewals_per_second));
     eprintln!(
-        "{} runs: overlapping {}, fenced {}, late {}; {} handovers, p50 {:?} p99 {:?} max {:?} (bound {RUN_BOUND:?}); \
-         {renews:.1} renewals per holder per second, {calls:.1} list-service calls per process per second",
+        "{} runs: overlapping {}, fenced {}, late {}; {} handovers, p50 {:?} p99 {:?} max {:?} \
+         (bound {RUN_HANDOVER_BOUND:?}); {renewals:.1} renewals per holder per second, \
+         {calls:.1} list-service calls per process per second",
         figures.len(),
         sum(|t| t.overlapping),
         sum(|t| t.fenced),
         sum(|t| t.late),
         handovers.len(),
-        at(0.5),
-        at(0.99),
+        quantile(0.5),
+        quantile(0.99),
         handovers.last()
     );
     assert_eq!(figures.len() as u64, runs);
     assert_eq!(sum(|t| t.overlapping), 0, "no two valid acts overlap");
-    // The service may grant anew at most a TTL after the fault, whatever the fault's length.
-    assert!(handovers.iter().all(|h| *h <= RUN_BOUND), "handovers within {RUN_BOUND:?}");
+    // The service may grant the lease again at the latest one TTL after the fault, however long the fault lasts.
+    assert!(handovers.iter().all(|h| *h <= RUN_HANDOVER_BOUND), "handovers within {RUN_HANDOVER_BOUND:?}");
 }
--- a/tests/fleet/hardening.rs
+++ b/tests/fleet/hardening.rs
@@ -257,7 +257,7 @@
     ended.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().expect("a client ends"));
     fleet.check_deadline();
-    let all_told = (0..PROXIES).map(|p| discovery.told(p, told).expect("all are told")).max();
+    let all_told = (0..PROXIES).map(|p| discovery.notified_at(p, told).expect("all are told")).max();
     let all_told = all_told.expect("there are proxies") + Duration::from_millis(50);
 
     let total: usize = backends.iter().map(|b| b.seen().len()).sum::<usize>() - before;
--- a/tests/fleet/harness/client.rs
+++ b/tests/fleet/harness/client.rs
@@ -1,9 +1,9 @@
-//! Clients and the front that deals them out among proxies, as `PROTOCOL` describes them: one request at a
-//! time on a connection, kept alive; a request that met a dead proxy is sent again elsewhere where that is
-//! harmless, and a close that crossed an unread request is sent once more on a new connection.
+//! Clients and the front that distributes their connections over proxies, as `PROTOCOL` describes them. A client
+//! sends one request at a time on a keep-alive connection. It retries a request that failed at a dead proxy at another
+//! one if a repeat is safe, and on a new connection if the proxy closed the connection before it read the request.
 //!
-//! Every request ends in exactly one `Final`, and the record keeps every try with the proxy and the `X-Txn`
-//! it went with, so that a test can tell who sent what a backend saw.
+//! Every request ends in exactly one `Outcome`. The record lists each attempt with its proxy and `X-Txn`, so that a
+//! test can find which proxy sent a request that a backend received.
 
 use super::http::{self, ReadError};
 use std::io::{BufReader, Write};
@@ -12,14 +12,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Longest wait for an answer: past the longest deadline that tests give, so a wait this long is a loss.
-const ANSWER_WITHIN: Duration = Duration::from_secs(6);
-/// Most tries of one request (a try that met a dead proxy or a crossing close is followed by another).
-const MOST_TRIES: usize = 3;
+/// The longest wait for an answer: longer than any deadline in the tests, so a request that waits this long is lost.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
+/// The maximum of attempts per request: it is retried after a dead proxy or a close before the request was read.
+const MAX_ATTEMPTS: usize = 3;
 
-static NEXT: AtomicU64 = AtomicU64::new(1);
+static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// The site's three kinds of request.
+/// The three kinds of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// `status-check`: GET, safe to repeat.
@@ -31,7 +31,7 @@
 }
 
 impl Kind {
-    /// The class name, as `X-Lane` carries it.
+    /// The class name, which `X-Lane` carries.
     pub fn lane(self) -> &'static str {
         match self {
             Kind::Status => "status-check",
@@ -43,32 +43,32 @@
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Final {
-    /// A whole answer with this status, carrying the request's own id where it is 200.
+pub enum Outcome {
+    /// A complete answer with this status; one with 200 carries the request's own id.
     Answered(u16),
-    /// Lost with a proxy that the test killed while it held the request, which is not sent again because
-    /// it may have run.
+    /// Lost with a proxy that the test killed while the request was in flight; not retried, because a backend may
+    /// have executed it.
     LostWithProxy(usize),
-    /// The connection broke, or no answer came in time, at a proxy that was alive: a loss.
+    /// The connection broke, or no answer arrived in time, and the proxy was alive: the request is lost.
     Broken(usize),
-    /// An answer that is not this request's, or not HTTP: a loss, and a sign of crossed answers.
-    Wrong(usize),
+    /// The answer belongs to another request or is not HTTP: the request is lost, and answers may be mixed up.
+    WrongAnswer(usize),
 }
 
-/// One request from its first try to its end.
+/// One request from its first attempt to its outcome.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// Its kind.
+    /// The request's kind.
     pub kind: Kind,
-    /// Each try: the proxy and the `X-Txn`.
-    pub tries: Vec<(usize, String)>,
-    /// How it ended; exactly one per request.
-    pub end: Final,
+    /// The proxy and the `X-Txn` of each attempt.
+    pub attempts: Vec<(usize, String)>,
+    /// How it ended.
+    pub outcome: Outcome,
     /// When it ended.
-    pub at: Instant,
+    pub ended_at: Instant,
 }
 
-/// The front before the proxies: it deals out connections among those it takes to be alive.
+/// The front of the proxies: it distributes connections over those that are not marked down.
 pub struct Front {
     proxies: Vec<SocketAddr>,
     down: Vec<AtomicBool>,
@@ -76,15 +76,15 @@
 }
 
 impl Front {
-    /// A front before these proxies, all taken to be alive.
+    /// A front of these proxies, none marked down.
     pub fn new(proxies: Vec<SocketAddr>) -> Arc<Self> {
         let down = proxies.iter().map(|_| AtomicBool::new(false)).collect();
         Arc::new(Self { proxies, down, next: AtomicUsize::new(0) })
     }
 
-    /// Takes proxy `n` out: no new connection goes there, and what breaks there is put down to it. A test
-    /// calls this just before it kills `n`, as a front that is told would.
-    pub fn take_out(&self, n: usize) {
+    /// Marks proxy `n` as down: it gets no new connection, and a failure there counts as the proxy's. A test calls this
+    /// just before it kills `n`, like a front that is notified.
+    pub fn mark_down(&self, n: usize) {
         self.down[n].store(true, Ordering::SeqCst);
     }
 
@@ -92,31 +92,31 @@
         self.down[n].load(Ordering::SeqCst)
     }
 
-    /// The next proxy alive other than `not`, round the list.
-    fn pick(&self, not: Option<usize>) -> Option<usize> {
+    /// The next proxy, round-robin, that is neither down nor `excluded`.
+    fn pick(&self, excluded: Option<usize>) -> Option<usize> {
         let count = self.proxies.len();
         (0..count)
             .map(|_| self.next.fetch_add(1, Ordering::Relaxed) % count)
-            .find(|n| !self.is_down(*n) && Some(*n) != not)
+            .find(|n| !self.is_down(*n) && Some(*n) != excluded)
     }
 }
 
-/// What a run of clients is to do.
+/// The workload of a run of clients.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Clients, each sending one request at a time.
+    /// The number of clients; each sends one request at a time.
     pub clients: usize,
-    /// Most requests of all clients together.
-    pub most: usize,
+    /// The maximum of requests of all clients together.
+    pub max_requests: usize,
     /// When to stop sending.
-    pub until: Instant,
-    /// `X-Remaining-Ms` of each request.
-    pub left_ms: u64,
-    /// Pause between a client's requests.
+    pub send_until: Instant,
+    /// The `X-Remaining-Ms` of each request.
+    pub remaining_ms: u64,
+    /// The pause between two requests of a client.
     pub pause: Duration,
 }
 
-/// Runs the clients to `load.until` (or `load.most` requests) and returns every request's record.
+/// Runs the clients until `load.send_until` or `load.max_requests`; returns every request's record.
 pub fn run(front: &Arc<Front>, load: Load) -> Vec<Record> {
     let records = Arc::new(Mutex::new(Vec::new()));
     let sent = Arc::new(AtomicUsize::new(0));
@@ -126,10 +126,12 @@
             std::thread::spawn(move || {
                 let mut connection: Option<(usize, BufReader<TcpStream>)> = None;
                 let mut number = client;
-                while Instant::now() < load.until && sent.fetch_add(1, Ordering::SeqCst) < load.most {
+                while Instant::now() < load.send_until
+                    && sent.fetch_add(1, Ordering::SeqCst) < load.max_requests
+                {
                     let kind = [Kind::Status, Kind::Sms, Kind::Batch][number % 3];
                     number += 1;
-                    let record = one(&front, &mut connection, kind, load.left_ms);
+                    let record = send_request(&front, &mut connection, kind, load.remaining_ms);
                     records.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push(record);
                     std::thread::sleep(load.pause);
                 }
@@ -137,13 +139,13 @@
         })
         .collect();
     for thread in threads {
-        thread.join().expect("a client thread ended in a panic");
+        thread.join().expect("a client thread panicked");
     }
     std::mem::take(&mut *records.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
 }
 
-/// A whole request of this kind, as a client sends it; `key` is the idempotency key where the kind has one.
-pub fn text(kind: Kind, txn: &str, key: u64, left_ms: u64) -> String {
+/// A complete request of this kind as a client sends it; `key` is the idempotency key of kinds that have one.
+pub fn request_text(kind: Kind, txn: &str, key: u64, remaining_ms: u64) -> String {
     let lane = kind.lane();
     let (method, key) = match kind {
         Kind::Status => ("GET", String::new()),
@@ -153,56 +155,62 @@
     let body = if method == "GET" { "" } else { "body" };
     format!(
         "{method} /api HTTP/1.1\r\nHost: app.svc\r\nX-Txn: {txn}\r\nX-Lane: {lane}\r\nX-Org: default\r\n{key}\
-         X-Remaining-Ms: {left_ms}\r\nContent-Length: {}\r\n\r\n{body}",
+         X-Remaining-Ms: {remaining_ms}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
 fn connect(address: SocketAddr) -> Option<BufReader<TcpStream>> {
-    let stream = TcpStream::connect_timeout(&address, ANSWER_WITHIN).ok()?;
-    stream.set_read_timeout(Some(ANSWER_WITHIN)).ok()?;
+    let stream = TcpStream::connect_timeout(&address, ANSWER_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
     let _ = stream.set_nodelay(true);
     Some(BufReader::new(stream))
 }
 
-/// One request, tried until it has its end.
-fn one(front: &Front, held: &mut Option<(usize, BufReader<TcpStream>)>, kind: Kind, left_ms: u64) -> Record {
-    let key = NEXT.fetch_add(1, Ordering::SeqCst);
-    let mut tries = Vec::new();
-    let mut not = None;
-    let end = loop {
-        let reused = held.as_ref().is_some_and(|(n, _)| !front.is_down(*n));
+/// Sends one request, with retries, until it has an outcome.
+fn send_request(
+    front: &Front,
+    kept_connection: &mut Option<(usize, BufReader<TcpStream>)>,
+    kind: Kind,
+    remaining_ms: u64,
+) -> Record {
+    let key = NEXT_ID.fetch_add(1, Ordering::SeqCst);
+    let mut attempts = Vec::new();
+    let mut excluded = None;
+    let outcome = loop {
+        let reused = kept_connection.as_ref().is_some_and(|(n, _)| !front.is_down(*n));
         if !reused {
-            *held = front.pick(not).and_then(|n| connect(front.proxies[n]).map(|c| (n, c)));
+            *kept_connection = front.pick(excluded).and_then(|n| connect(front.proxies[n]).map(|c| (n, c)));
         }
-        let Some((proxy, connection)) = held.as_mut() else {
-            break Final::Broken(usize::MAX);
+        let Some((proxy, connection)) = kept_connection.as_mut() else {
+            break Outcome::Broken(usize::MAX);
         };
         let proxy = *proxy;
-        let txn = format!("{:016x}", NEXT.fetch_add(1, Ordering::SeqCst));
-        tries.push((proxy, txn.clone()));
-        let written = connection.get_mut().write_all(text(kind, &txn, key, left_ms).as_bytes()).is_ok();
+        let txn = format!("{:016x}", NEXT_ID.fetch_add(1, Ordering::SeqCst));
+        attempts.push((proxy, txn.clone()));
+        let written =
+            connection.get_mut().write_all(request_text(kind, &txn, key, remaining_ms).as_bytes()).is_ok();
         let read = if written { http::read(connection) } else { Err(ReadError::Broken) };
         match read {
             Ok(answer) => {
-                let own = answer.status() != 200 || answer.body.starts_with(txn.as_bytes());
-                break if own { Final::Answered(answer.status()) } else { Final::Wrong(proxy) };
+                let is_own = answer.status() != 200 || answer.body.starts_with(txn.as_bytes());
+                break if is_own { Outcome::Answered(answer.status()) } else { Outcome::WrongAnswer(proxy) };
             }
-            Err(ReadError::Malformed) => break Final::Wrong(proxy),
+            Err(ReadError::Malformed) => break Outcome::WrongAnswer(proxy),
             Err(error) => {
-                *held = None;
-                let dead = front.is_down(proxy);
-                let crossed = error == ReadError::Closed && reused && !dead;
-                let again = crossed || (dead && kind != Kind::Sms);
-                if dead && kind == Kind::Sms {
-                    break Final::LostWithProxy(proxy);
+                *kept_connection = None;
+                let is_dead = front.is_down(proxy);
+                let closed_unread = error == ReadError::Closed && reused && !is_dead;
+                let may_retry = closed_unread || (is_dead && kind != Kind::Sms);
+                if is_dead && kind == Kind::Sms {
+                    break Outcome::LostWithProxy(proxy);
                 }
-                if !again || tries.len() >= MOST_TRIES {
-                    break Final::Broken(proxy);
+                if !may_retry || attempts.len() >= MAX_ATTEMPTS {
+                    break Outcome::Broken(proxy);
                 }
-                not = dead.then_some(proxy);
+                excluded = is_dead.then_some(proxy);
             }
         }
     };
-    Record { kind, tries, end, at: Instant::now() }
+    Record { kind, attempts, outcome, ended_at: Instant::now() }
 }
--- a/tests/fleet/harness/discovery.rs
+++ b/tests/fleet/harness/discovery.rs
@@ -1,8 +1,8 @@
-//! A fake discovery that speaks `PROTOCOL` ("Discovery"): `GET /api/targets`, and watches with `since` and
-//! `timeout_ms`. It stands in until the project's list service takes its place in the harness.
+//! A fake discovery that implements `PROTOCOL` ("Discovery"): `GET /api/targets`, and watches with `since` and
+//! `timeout_ms`. It replaces the project's list service until the harness uses that.
 //!
-//! As in `PROTOCOL`, each proxy has an agent of its own: one listener an agent, all over one list. Each agent
-//! records when it wrote which version, which is when the change counts as told to that proxy.
+//! As in `PROTOCOL`, each proxy has its own agent. Each agent has its own listener, and all serve one list. An agent
+//! records when it wrote each version; from then on that proxy counts as notified of the change.
 
 use super::http::{self, ReadError};
 use serde_json::{Value, json};
@@ -11,10 +11,10 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// Longest wait of a watch, as `PROTOCOL` bounds it.
-const MOST_WAIT: Duration = Duration::from_secs(60);
+/// The longest timeout of a watch that `PROTOCOL` allows.
+const MAX_WATCH_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One backend as listed; by default one that serves, and has for long.
+/// A backend's list entry; by default it serves and started long ago.
 #[derive(Clone, Debug)]
 pub struct Listing {
     /// `instanceId`.
@@ -40,8 +40,8 @@
 struct List {
     generation: u64,
     entries: Vec<Listing>,
-    /// For each agent, each answer: the version written and when.
-    told: Vec<Vec<(u64, Instant)>>,
+    /// For each agent, the versions that it wrote and when it first wrote them.
+    notifications: Vec<Vec<(u64, Instant)>>,
 }
 
 struct Shared {
@@ -56,9 +56,9 @@
 }
 
 impl Discovery {
-    /// Starts `agents` agents on loopback ports that the system chooses, all with this list at version 1.
+    /// Starts `agents` agents on loopback ports that the system chooses, all serving this list at version 1.
     pub fn start(entries: Vec<Listing>, agents: usize) -> std::io::Result<Self> {
-        let list = List { generation: 1, entries, told: vec![Vec::new(); agents] };
+        let list = List { generation: 1, entries, notifications: vec![Vec::new(); agents] };
         let shared = Arc::new(Shared { list: Mutex::new(list), changed: Condvar::new() });
         let mut addresses = Vec::new();
         for agent in 0..agents {
@@ -75,12 +75,12 @@
         Ok(Self { shared, agents: addresses })
     }
 
-    /// Where agent `n` listens.
+    /// The address of agent `n`.
     pub fn agent(&self, n: usize) -> SocketAddr {
         self.agents[n]
     }
 
-    /// The list as it stands, in the form that a proxy's configuration takes as its last known list.
+    /// The current list, in the form of the last known list in a proxy's configuration.
     pub fn known(&self) -> Value {
         let list = self.shared.list.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         body(&list)
@@ -91,23 +91,23 @@
         self.change(id, |entry| entry.lifecycle = lifecycle)
     }
 
-    /// Says that one entry started at this Unix time, in milliseconds; returns the new version.
+    /// Sets the start time of one entry, in Unix milliseconds; returns the new version.
     pub fn set_started(&self, id: &str, started_ms: f64) -> u64 {
         self.change(id, |entry| entry.started_ms = started_ms)
     }
 
-    fn change(&self, id: &str, how: impl Fn(&mut Listing)) -> u64 {
+    fn change(&self, id: &str, update: impl Fn(&mut Listing)) -> u64 {
         let mut list = self.shared.list.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        list.entries.iter_mut().filter(|e| e.id == id).for_each(how);
+        list.entries.iter_mut().filter(|e| e.id == id).for_each(update);
         list.generation += 1;
         self.shared.changed.notify_all();
         list.generation
     }
 
-    /// When agent `n` first wrote version `generation` or later, if it has.
-    pub fn told(&self, n: usize, generation: u64) -> Option<Instant> {
+    /// When agent `n` first wrote version `generation` or a later one; `None` if it has not.
+    pub fn notified_at(&self, n: usize, generation: u64) -> Option<Instant> {
         let list = self.shared.list.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        list.told[n].iter().find(|(g, _)| *g >= generation).map(|(_, at)| *at)
+        list.notifications[n].iter().find(|(g, _)| *g >= generation).map(|(_, at)| *at)
     }
 }
 
@@ -146,17 +146,19 @@
             }
             continue;
         }
-        let wait =
-            parameter(target, "timeout_ms").map(Duration::from_millis).unwrap_or_default().min(MOST_WAIT);
-        let deadline = Instant::now() + wait;
+        let timeout = parameter(target, "timeout_ms")
+            .map(Duration::from_millis)
+            .unwrap_or_default()
+            .min(MAX_WATCH_TIMEOUT);
+        let deadline = Instant::now() + timeout;
         let mut list = shared.list.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         if let Some(since) = parameter(target, "since") {
-            // A watch: waits for news or for its time.
+            // A watch waits for a change or for its timeout.
             while list.generation <= since && Instant::now() < deadline {
-                let left = deadline.saturating_duration_since(Instant::now());
+                let remaining = deadline.saturating_duration_since(Instant::now());
                 list = shared
                     .changed
-                    .wait_timeout(list, left)
+                    .wait_timeout(list, remaining)
                     .unwrap_or_else(std::sync::PoisonError::into_inner)
                     .0;
             }
@@ -168,10 +170,10 @@
         if writer.write_all(&http::answer(200, "OK", headers, text.as_bytes())).is_err() {
             return;
         }
-        // The first writing of each version is what counts as told; later ones are not kept.
+        // Only the first write of each version counts as the notification.
         let mut list = shared.list.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        if list.told[agent].last().map(|(g, _)| *g) != Some(generation) {
-            list.told[agent].push((generation, Instant::now()));
+        if list.notifications[agent].last().map(|(g, _)| *g) != Some(generation) {
+            list.notifications[agent].push((generation, Instant::now()));
         }
     }
 }
--- a/tests/fleet/harness/mod.rs
+++ b/tests/fleet/harness/mod.rs
@@ -1,10 +1,14 @@
 //! The fault harness: the fleet testbed's processes, relays, clusters and fake backends on loopback ports that the
-//! system chooses, with what only these tests need beside them: a fake discovery with an agent a proxy, closed-loop
+//! system chooses, and fixtures that only these tests use: a fake discovery with one agent per proxy, closed-loop
 //! clients, a resource that duties act on, many watchers of the list, and services of another build.
 //!
-//! Every listener binds port 0 and says which port it got, so no port is chosen before it is bound; a
-//! process restarted elsewhere keeps its old address through the relay in front of it (`Relay::retarget`).
-#![allow(dead_code, unused_imports, reason = "each test program that includes the harness uses a part of it")]
+//! Every listener binds port 0 and reports the port it got, so no port is chosen before it is bound. A process
+//! restarted on another port keeps its old address through the relay in front of it (`Relay::retarget`).
+#![allow(
+    dead_code,
+    unused_imports,
+    reason = "each test program that includes the harness uses only a part of it"
+)]
 
 pub mod client;
 pub mod discovery;
@@ -20,13 +24,13 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Rules of `testbed/syscall-faults`, separated by semicolons, for every process of a run of the tests, as
-/// `sync=100..200ms@1:0-600000` for a slow disk. A test that makes rules of its own replaces them.
+/// The rules of `testbed/syscall-faults`, separated by semicolons, for every process of a test run, for example
+/// `sync=100..200ms@1:0-600000` for a slow disk. A test that sets its own rules replaces them.
 const FAULTS_VARIABLE: &str = "FLEET_SYSCALL_FAULTS";
-/// The seed of their draws.
+/// The seed of these rules' random draws.
 const FAULTS_SEED_VARIABLE: &str = "FLEET_SYSCALL_FAULTS_SEED";
 
-/// A fleet of the program under test, all of it SIGKILLed at `deadline` from now at the latest.
+/// A fleet of processes of the program under test, all SIGKILLed once `deadline` has elapsed.
 pub fn fleet(deadline: Duration) -> Fleet {
     let mut fleet = Fleet::new(
         Path::new(env!("CARGO_BIN_EXE_linkhatch-proxy")),
@@ -43,8 +47,9 @@
 
 use serde_json::{Value, json};
 
-/// Settings of a proxy of the harness: the site's three classes, `me` of `instances`, and the drain grace
-/// in seconds (a proxy makes no send decided before a drain's news past half of it).
+/// The settings of a proxy of the harness: the three request classes, number `me` of `instances` proxies, and the
+/// drain grace in seconds. After the notification of a drain, a request assigned to the backend before it is sent
+/// within half the drain grace or not at all.
 pub fn settings(me: usize, instances: usize, drain_grace: f64) -> Value {
     let class = |name: &str, effect: &str, on_time: f64, hard_limit: f64| {
         json!({"name": name, "effect": effect, "group": "all", "window": 30.0, "on-time": on_time,
@@ -64,7 +69,7 @@
     })
 }
 
-/// A whole configuration file around `settings`, with `known` as the last known list.
+/// A complete configuration file with `settings`, and with `known` as the last known list.
 pub fn config(settings: &Value, known: &Value, seed: u64) -> String {
     json!({"name": "fleet", "seed": format!("{seed:016x}"),
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
--- a/tests/fleet/harness/program.rs
+++ b/tests/fleet/harness/program.rs
@@ -1,4 +1,4 @@
-//! Services of a program that is named by its path, so that a test can run a build other than its own.
+//! Services of a program given by its path, so that a test can run another build than its own.
 
 use linkhatch_proxy::telemetry::LOG_VARIABLE;
 use std::io::{BufRead, BufReader};
@@ -10,15 +10,15 @@
 
 /// The environment variable that names the previous build's program.
 pub const PREVIOUS_PROGRAM: &str = "LINKHATCH_PREVIOUS_PROGRAM";
-/// What comes before the address in the line that says where a service listens, whatever the program is called.
-const LISTENING: &str = "listening on ";
+/// The text before the address in the line that reports where a service listens, whatever the program's name.
+const LISTENING_PREFIX: &str = "listening on ";
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 const MAX_LOG_LINES: usize = 10_000;
 
 /// The previous build's program.
 ///
 /// # Panics
-/// Where the environment does not name it.
+/// Panics if the environment variable is not set.
 pub fn previous_program() -> PathBuf {
     std::env::var_os(PREVIOUS_PROGRAM).map(PathBuf::from).expect(PREVIOUS_PROGRAM)
 }
@@ -28,7 +28,7 @@
     Path::new(env!("CARGO_BIN_EXE_linkhatch-proxy"))
 }
 
-/// A running service; dropping it kills it.
+/// A running service; it is killed on drop.
 pub struct Service {
     child: Child,
     address: SocketAddr,
@@ -39,7 +39,7 @@
     /// Starts a list-service node of `program`; its configuration goes to `config_path`.
     ///
     /// # Panics
-    /// Where it does not start in time, with what it said.
+    /// Panics if it does not start in time, with its log lines.
     pub fn node(program: &Path, config_path: &Path, config: &str) -> Self {
         std::fs::write(config_path, config).expect("a configuration file");
         let mut command = Command::new(program);
@@ -50,7 +50,7 @@
     /// Starts a list-service node of `program` that may open `max_files` files; its configuration goes to `config_path`.
     ///
     /// # Panics
-    /// Where it does not start in time, with what it said.
+    /// Panics if it does not start in time, with its log lines.
     pub fn node_with_max_files(program: &Path, config_path: &Path, config: &str, max_files: usize) -> Self {
         std::fs::write(config_path, config).expect("a configuration file");
         let mut command = Command::new("/bin/sh");
@@ -62,7 +62,7 @@
     /// Starts a proxy of `program` with discovery at `discovery`; its configuration goes to `config_path`.
     ///
     /// # Panics
-    /// Where it does not start in time, with what it said.
+    /// Panics if it does not start in time, with its log lines.
     pub fn proxy(program: &Path, config_path: &Path, config: &str, discovery: SocketAddr) -> Self {
         std::fs::write(config_path, config).expect("a configuration file");
         let mut command = Command::new(program);
@@ -75,7 +75,7 @@
     /// configuration goes to `config_path`.
     ///
     /// # Panics
-    /// Where it does not start in time, with what it said.
+    /// Panics if it does not start in time, with its log lines.
     pub fn proxy_with_max_files(
         program: &Path,
         config_path: &Path,
@@ -91,14 +91,14 @@
         Self::start(command)
     }
 
-    /// Returns once the service says where it listens.
+    /// Returns once the service has reported where it listens.
     fn start(mut command: Command) -> Self {
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn().unwrap_or_else(|error| panic!("{command:?}: {error}"));
         let log = BufReader::new(child.stderr.take().expect("stderr is piped"));
         let (lines, received) = sync_channel(MAX_LOG_LINES);
         std::thread::spawn(move || {
-            // Read to the end, so that the service never waits for its log to be read.
+            // Reads to the end, so that the service never blocks on a full pipe.
             log.lines().map_while(Result::ok).for_each(|line| drop(lines.try_send(line)));
         });
         match listening_address(&received) {
@@ -111,25 +111,25 @@
         }
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether it still runs.
+    /// Whether it is still running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Lines of its log that came since the last call.
+    /// The log lines since the last call.
     pub fn log_lines(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
-    /// How many files it has open.
+    /// The number of files that it has open.
     ///
     /// # Panics
-    /// Where the system does not tell.
+    /// Panics if the system does not list the process's files.
     pub fn open_files(&self) -> usize {
         let files = std::fs::read_dir(format!("/proc/{}/fd", self.child.id()));
         files.expect("the process's files").count()
@@ -143,16 +143,16 @@
     }
 }
 
-/// Waits for the line that says where a service listens; the lines until then where it does not come in time.
+/// Waits for the line that reports where a service listens; fails with the other lines if it does not arrive in time.
 fn listening_address(lines: &Receiver<String>) -> Result<SocketAddr, Vec<String>> {
     let deadline = Instant::now() + START_TIMEOUT;
-    let mut seen = Vec::new();
+    let mut lines_before = Vec::new();
     while let Ok(line) = lines.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
-        let address = line.split_once(LISTENING).and_then(|(_, address)| address.trim().parse().ok());
+        let address = line.split_once(LISTENING_PREFIX).and_then(|(_, address)| address.trim().parse().ok());
         match address {
             Some(address) => return Ok(address),
-            None => seen.push(line),
+            None => lines_before.push(line),
         }
     }
-    Err(seen)
+    Err(lines_before)
 }
--- a/tests/fleet/harness/resource.rs
+++ b/tests/fleet/harness/resource.rs
@@ -1,6 +1,6 @@
-//! A fake resource that duties act on: it records every act with its fencing token and holder, and admits
-//! it only if no higher token has been seen (409 otherwise), as `lease::Fence` checks. From its record a test
-//! counts what was fenced off, what overlapped, and how long a handover took.
+//! A fake resource that duties act on. It records every act with its fencing token and holder, and admits it only if
+//! `lease::Fence` has seen no higher token (409 otherwise). From the record a test counts acts that were rejected or
+//! overlapped, and measures handovers.
 
 use super::http;
 use linkhatch_proxy::lease::Fence;
@@ -9,15 +9,15 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Most acts recorded; more are refused 503, so that a runaway holder shows as a failure, not a hang.
-pub const MOST_ACTS: usize = 200_000;
+/// The maximum of recorded acts; further ones get a 503, so that a runaway holder causes a failure and not a hang.
+pub const MAX_ACTS: usize = 200_000;
 
-/// One act as the resource saw it.
+/// One act as the resource received it.
 #[derive(Clone, Debug)]
 pub struct Act {
-    /// When its first byte came.
+    /// When its first byte arrived.
     pub at: Instant,
-    /// Its fencing token; 0 where none was shown.
+    /// Its fencing token; 0 if it has none.
     pub token: u64,
     /// Its `X-Holder`.
     pub holder: String,
@@ -26,23 +26,23 @@
 }
 
 #[derive(Default)]
-struct Shared {
+struct State {
     fence: Fence,
     acts: Vec<Act>,
 }
 
 /// A running resource; its threads end with the test process.
 pub struct Resource {
-    shared: Arc<Mutex<Shared>>,
+    shared: Arc<Mutex<State>>,
     address: SocketAddr,
 }
 
 impl Resource {
-    /// Starts one on a loopback port that the system chooses.
+    /// Starts a resource on a loopback port that the system chooses.
     pub fn start() -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let shared = Arc::new(Mutex::new(Shared::default()));
+        let shared = Arc::new(Mutex::new(State::default()));
         let serving = shared.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -53,19 +53,19 @@
         Ok(Self { shared, address })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Every act so far, in the order the fence took them.
+    /// Every act so far, in the order in which the fence checked them.
     pub fn acts(&self) -> Vec<Act> {
         self.shared.lock().unwrap_or_else(std::sync::PoisonError::into_inner).acts.clone()
     }
 
-    /// Waits up to `within` for an admitted act under a token above `above`; its token and time.
-    pub fn first_above(&self, above: u64, within: Duration) -> Option<(u64, Instant)> {
-        let deadline = Instant::now() + within;
+    /// Waits up to `timeout` for an admitted act with a token above `above`; returns its token and time.
+    pub fn first_admitted_above(&self, above: u64, timeout: Duration) -> Option<(u64, Instant)> {
+        let deadline = Instant::now() + timeout;
         loop {
             let found = self.acts().into_iter().find(|a| a.admitted && a.token > above);
             if found.is_some() || Instant::now() >= deadline {
@@ -76,23 +76,23 @@
     }
 }
 
-/// What a record of acts shows.
+/// The counts from a record of acts.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Acts admitted.
     pub admitted: usize,
-    /// Acts refused by the fence: a holder acted after a newer one had.
+    /// Acts that the fence rejected: a holder acted after a newer one had acted.
     pub fenced: usize,
-    /// Acts under a token that came after the first act under a higher one, fenced or not: where a holder's
-    /// own bound failed to stop it in time.
+    /// Acts, fenced or not, that arrived after the first act with a higher token: the holder's own bound failed to
+    /// stop it in time.
     pub late: usize,
-    /// Admitted acts out of token order: two holders' valid acts overlapping. Must be 0.
+    /// Admitted acts out of token order: valid acts of two holders overlapped. Must be 0.
     pub overlapping: usize,
-    /// Distinct tokens that acted.
+    /// Distinct tokens of acts.
     pub tokens: usize,
 }
 
-/// Counts a record of acts.
+/// Counts the acts of a record.
 pub fn tally(acts: &[Act]) -> Tally {
     let mut tally = Tally::default();
     let (mut highest, mut highest_admitted) = (0, 0);
@@ -113,25 +113,25 @@
     tally
 }
 
-fn serve(stream: TcpStream, shared: &Mutex<Shared>) {
+fn serve(stream: TcpStream, shared: &Mutex<State>) {
     let _ = stream.set_read_timeout(Some(Duration::from_secs(30)));
     let Ok(mut writer) = stream.try_clone() else { return };
     let mut reader = BufReader::new(stream);
     while let Ok(message) = http::read(&mut reader) {
         let token = message.header("fencing-token").and_then(|t| t.parse().ok()).unwrap_or(0);
         let holder = message.header("x-holder").unwrap_or("").to_string();
-        let mut all = shared.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let answer = if all.acts.len() >= MOST_ACTS {
+        let mut state = shared.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let answer = if state.acts.len() >= MAX_ACTS {
             http::answer(503, "Service Unavailable", "", b"full")
         } else {
-            let admitted = token > 0 && all.fence.admit(token).is_ok();
-            all.acts.push(Act { at: message.began, token, holder, admitted });
+            let admitted = token > 0 && state.fence.admit(token).is_ok();
+            state.acts.push(Act { at: message.began, token, holder, admitted });
             match admitted {
                 true => http::answer(200, "OK", "", b"warm"),
                 false => http::answer(409, "Conflict", "", b"fenced"),
             }
         };
-        drop(all);
+        drop(state);
         if writer.write_all(&answer).is_err() {
             return;
         }
--- a/tests/fleet/harness/watchers.rs
+++ b/tests/fleet/harness/watchers.rs
@@ -1,5 +1,5 @@
-//! Many watchers of the list in one thread, as proxies watch it: each follows one node, and goes on to the next
-//! after a failed call and a jittered wait. They record when each revision came and any that went back.
+//! Many watchers of the list in one thread. Each watches one node, as proxies do, and moves on to the next node after a
+//! failed call and a jittered backoff. They record when each revision arrived and each that was below an earlier one.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -14,35 +14,35 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long a watch waits for news.
-const WAIT_MS: u64 = 2_000;
+/// The time after which a watch without a change is answered.
+const WATCH_TIMEOUT_MS: u64 = 2_000;
 
-/// What one watcher saw.
+/// The answers that one watcher received.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// Each revision answered, with when, in order.
+pub struct WatcherRecord {
+    /// The revision of each answer and its time, in order.
     pub revisions: Vec<(u64, Instant)>,
-    /// The list as the answers left it: ids.
+    /// The entries of the list, by id, after the last answer.
     pub list: BTreeMap<String, Value>,
-    /// Answers whose revision was below one seen before.
-    pub back: usize,
+    /// Answers with a revision below an earlier one.
+    pub regressions: usize,
     /// Calls that failed.
     pub failed: usize,
 }
 
-/// Running watchers; they stop when told, or when dropped.
+/// Running watchers; they stop on `end` or on drop.
 pub struct Watchers {
-    seen: Arc<Mutex<Vec<Seen>>>,
+    records: Arc<Mutex<Vec<WatcherRecord>>>,
     stop: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Watchers {
-    /// Starts `count` watchers over these nodes, watcher w at node w first.
+    /// Starts `count` watchers of these nodes; watcher `w` starts at node `w` modulo their number.
     pub fn start(nodes: &[SocketAddr], count: usize) -> Self {
-        let seen = Arc::new(Mutex::new(vec![Seen::default(); count]));
+        let records = Arc::new(Mutex::new(vec![WatcherRecord::default(); count]));
         let stop = Arc::new(AtomicBool::new(false));
-        let (shared, stopped, nodes) = (seen.clone(), stop.clone(), nodes.to_vec());
+        let (shared, stopped, nodes) = (records.clone(), stop.clone(), nodes.to_vec());
         let thread = std::thread::spawn(move || {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -53,21 +53,21 @@
                     })
                     .collect();
                 for task in tasks {
-                    task.await.expect("a watcher ends");
+                    task.await.expect("a watcher panicked");
                 }
             };
             tokio::task::LocalSet::new().block_on(&runtime, watch_all);
         });
-        Self { seen, stop, thread: Some(thread) }
+        Self { records, stop, thread: Some(thread) }
     }
 
-    /// Waits until every watcher has reached `revision`.
-    pub fn reached(&self, revision: u64, within: Duration) {
-        let deadline = Instant::now() + within;
+    /// Waits until every watcher has reached `revision`; panics if one has not within `timeout`.
+    pub fn wait_for_revision(&self, revision: u64, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
         loop {
             let behind = {
-                let seen = self.seen.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-                seen.iter().filter(|s| s.revisions.last().is_none_or(|(r, _)| *r < revision)).count()
+                let records = self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+                records.iter().filter(|s| s.revisions.last().is_none_or(|(r, _)| *r < revision)).count()
             };
             if behind == 0 {
                 return;
@@ -77,20 +77,20 @@
         }
     }
 
-    /// For each watcher, how long after `at` it first had `revision` or a later one.
-    pub fn delays(&self, revision: u64, at: Instant) -> Vec<Duration> {
-        let seen = self.seen.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let first = |s: &Seen| s.revisions.iter().find(|(r, _)| *r >= revision).map(|(_, t)| *t);
-        seen.iter().filter_map(first).map(|t| t.saturating_duration_since(at)).collect()
+    /// For each watcher, the time from `start` until it first received `revision` or a later one.
+    pub fn delays(&self, revision: u64, start: Instant) -> Vec<Duration> {
+        let records = self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let first = |s: &WatcherRecord| s.revisions.iter().find(|(r, _)| *r >= revision).map(|(_, t)| *t);
+        records.iter().filter_map(first).map(|t| t.saturating_duration_since(start)).collect()
     }
 
-    /// Stops them and returns what each saw.
-    pub fn end(mut self) -> Vec<Seen> {
+    /// Stops the watchers; returns the record of each.
+    pub fn end(mut self) -> Vec<WatcherRecord> {
         self.stop.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
-            thread.join().expect("the watchers end");
+            thread.join().expect("the thread of the watchers panicked");
         }
-        std::mem::take(&mut *self.seen.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
+        std::mem::take(&mut *self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 }
 
@@ -100,17 +100,17 @@
     }
 }
 
-async fn watch(w: usize, nodes: Vec<SocketAddr>, all: Arc<Mutex<Vec<Seen>>>, stop: Arc<AtomicBool>) {
+async fn watch(w: usize, nodes: Vec<SocketAddr>, all: Arc<Mutex<Vec<WatcherRecord>>>, stop: Arc<AtomicBool>) {
     let mut rng = SmallRng::seed_from_u64(w as u64);
-    let (mut at, mut since, mut backoff) = (w % nodes.len(), 0u64, 50u64);
-    let mut peer = HttpClient::new(nodes[at]);
+    let (mut node, mut since, mut backoff) = (w % nodes.len(), 0u64, 50u64);
+    let mut peer = HttpClient::new(nodes[node]);
     while !stop.load(Ordering::SeqCst) {
-        let path = format!("/api/targets?since={since}&timeout_ms={WAIT_MS}");
+        let path = format!("/api/targets?since={since}&timeout_ms={WATCH_TIMEOUT_MS}");
         let request =
             Request::get(path).header("host", "r").body(Full::new(Bytes::new())).expect("a request");
         let answer = tokio::select! {
-            answer = peer.call(request, Duration::from_millis(WAIT_MS + 500)) => answer,
-            () = stopped(&stop) => return,
+            answer = peer.call(request, Duration::from_millis(WATCH_TIMEOUT_MS + 500)) => answer,
+            () = wait_for_stop(&stop) => return,
         };
         let list: Option<Value> =
             answer.ok().filter(|a| a.status() == 200).and_then(|a| serde_json::from_slice(a.body()).ok());
@@ -118,33 +118,33 @@
             all.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[w].failed += 1;
             tokio::time::sleep(Duration::from_millis(rng.random_range(backoff / 2..=backoff))).await;
             backoff = (2 * backoff).min(1_000);
-            at = (at + 1) % nodes.len();
-            peer = HttpClient::new(nodes[at]);
+            node = (node + 1) % nodes.len();
+            peer = HttpClient::new(nodes[node]);
             continue;
         };
         backoff = 50;
         let revision = list["generation"].as_u64().unwrap_or(0);
         let mut all = all.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let seen = &mut all[w];
+        let record = &mut all[w];
         if revision < since {
-            seen.back += 1;
+            record.regressions += 1;
         }
         since = revision.max(since);
         if list["reset"] == true {
-            seen.list.clear();
+            record.list.clear();
         }
         for entry in list["instances"].as_array().into_iter().flatten() {
             let id = entry["instanceId"].as_str().unwrap_or_default().to_string();
             match entry["lifecycle"] == "DELETED" {
-                true => drop(seen.list.remove(&id)),
-                false => drop(seen.list.insert(id, entry.clone())),
+                true => drop(record.list.remove(&id)),
+                false => drop(record.list.insert(id, entry.clone())),
             }
         }
-        seen.revisions.push((revision, Instant::now()));
+        record.revisions.push((revision, Instant::now()));
     }
 }
 
-async fn stopped(stop: &AtomicBool) {
+async fn wait_for_stop(stop: &AtomicBool) {
     while !stop.load(Ordering::SeqCst) {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/tests/fleet/listing.rs
+++ b/tests/fleet/listing.rs
@@ -3,7 +3,7 @@
 
 use crate::harness;
 use crate::harness::backend::Backend;
-use crate::harness::client::{self, Final, Front, Kind, Load};
+use crate::harness::client::{self, Front, Kind, Load, Outcome};
 use crate::harness::process::Process;
 use crate::harness::registry::{self, Heartbeats};
 use crate::harness::relay::{Fault, Relay};
@@ -18,8 +18,8 @@
     const BACKENDS: usize = 4;
     const EXPIRED: usize = 0;
     const TTL_MS: u64 = 1000;
-    /// From the removal of an entry by the list service to the last request that may reach the backend: the watch
-    /// event and half the drain grace of the settings (0.4 s).
+    /// The longest time from the removal of an entry by the list service to the last request that reaches the backend:
+    /// the watch event and half the drain grace of the settings (0.4 s).
     const EXPIRY_BOUND: Duration = Duration::from_millis(300);
     let mut fleet = harness::fleet(Duration::from_secs(60));
     let mut list =
@@ -29,7 +29,7 @@
     let backends: Vec<Backend> = (0..BACKENDS)
         .map(|n| Backend::start(&format!("b-{n}"), Duration::from_millis(10)).expect("a backend starts"))
         .collect();
-    let beats: Vec<Heartbeats> = backends
+    let heartbeats: Vec<Heartbeats> = backends
         .iter()
         .map(|b| Heartbeats::start(at, b.name(), b.address(), TTL_MS, Duration::from_millis(200)))
         .collect();
@@ -42,28 +42,28 @@
         })
         .collect();
     let front = Front::new(proxies.iter().map(Process::address).collect());
-    // Bounded: until every proxy has served a request, so that each has its list.
+    // Waits until every proxy has served a request, and therefore has its list.
     let deadline = Instant::now() + Duration::from_secs(5);
     let mut listed = HashSet::new();
     while listed.len() < PROXIES {
         assert!(Instant::now() < deadline, "proxies {listed:?} of {PROXIES} have a list");
-        let warm = Load {
+        let probe = Load {
             clients: PROXIES,
-            most: PROXIES * 3,
-            until: deadline,
-            left_ms: 1000,
+            max_requests: PROXIES * 3,
+            send_until: deadline,
+            remaining_ms: 1000,
             pause: Duration::from_millis(20),
         };
-        let served = client::run(&front, warm).into_iter().filter(|r| r.end == Final::Answered(200));
-        listed.extend(served.filter_map(|r| r.tries.last().map(|(p, _)| *p)));
+        let served = client::run(&front, probe).into_iter().filter(|r| r.outcome == Outcome::Answered(200));
+        listed.extend(served.filter_map(|r| r.attempts.last().map(|(p, _)| *p)));
     }
 
     let start = Instant::now();
     let load = Load {
         clients: 6,
-        most: 3000,
-        until: start + Duration::from_millis(4000),
-        left_ms: 1500,
+        max_requests: 3000,
+        send_until: start + Duration::from_millis(4000),
+        remaining_ms: 1500,
         pause: Duration::from_millis(2),
     };
     let traffic = {
@@ -71,23 +71,24 @@
         std::thread::spawn(move || client::run(&front, load))
     };
     std::thread::sleep(Duration::from_millis(500));
-    beats[EXPIRED].stop();
-    // When the list service removed it, seen from outside: an upper bound on when proxies were notified.
+    heartbeats[EXPIRED].stop();
+    // The removal as observed by polling: an upper bound on when the list service removed the entry.
     let deadline = Instant::now() + Duration::from_secs(5);
     while registry::lists(at, backends[EXPIRED].name()) != Some(false) {
-        assert!(Instant::now() < deadline, "the expired backend is never removed");
+        assert!(Instant::now() < deadline, "the expired backend is not removed in time");
         std::thread::sleep(Duration::from_millis(10));
     }
     let removed_at = Instant::now();
     let expired_after = removed_at.duration_since(start);
-    // The list service dies; traffic goes on for 2 s and more on the lists that the proxies have.
+    // The list service is killed; traffic continues for at least 2 s on the lists that the proxies have.
     list.signal(Signal::SIGKILL);
     let down_at = Instant::now();
     let records = traffic.join().expect("the clients end");
     fleet.check_deadline();
 
-    let served = records.iter().filter(|r| r.end == Final::Answered(200)).count();
-    let after_down = records.iter().filter(|r| r.at > down_at && r.end == Final::Answered(200)).count();
+    let served = records.iter().filter(|r| r.outcome == Outcome::Answered(200)).count();
+    let after_down =
+        records.iter().filter(|r| r.ended_at > down_at && r.outcome == Outcome::Answered(200)).count();
     let late: Vec<Duration> = backends[EXPIRED]
         .seen()
         .iter()
@@ -106,34 +107,34 @@
          removed {expired_after:?} into traffic (TTL {TTL_MS} ms)",
         records.len()
     );
-    assert!(records.iter().all(|r| matches!(r.end, Final::Answered(_))), "every request answered");
+    assert!(records.iter().all(|r| matches!(r.outcome, Outcome::Answered(_))), "every request answered");
     assert!(served * 100 >= records.len() * 98, "{served} of {} served", records.len());
-    assert!(after_down > 300, "traffic went on with the list service down: {after_down}");
+    assert!(after_down > 300, "too little traffic served with the list service down: {after_down}");
     assert!(
         late.is_empty(),
-        "sends to the expired backend past {EXPIRY_BOUND:?} after its removal: {late:?}"
+        "sends to the expired backend more than {EXPIRY_BOUND:?} after its removal: {late:?}"
     );
-    assert_eq!(twice, 0, "no send-sms twice");
+    assert_eq!(twice, 0, "send-sms requests that reached a backend twice");
     assert_eq!(list.wait_exit(Duration::from_secs(5)), Some(false), "the list service was killed");
 }
 
-/// Two proxies whose discovery has two addresses: the first is cut off during traffic, and a drain after that reaches
-/// them through the second.
+/// Two proxies have two discovery addresses. One address is cut during traffic; a drain after that reaches both proxies
+/// through the other.
 #[test]
 fn drains_reach_proxies_after_a_failover() {
     const PROXIES: usize = 2;
     const DRAINED: usize = 1;
-    /// From the acknowledgement of the drain to the last request that may reach the backend: a failed watch (the cut
-    /// is a reset, so no timeout is waited for), the backoff of at most 1 s, the watch event, and half the drain grace
-    /// (0.4 s).
+    /// The longest time from the acknowledgement of the drain to the last request that reaches the backend: a failed
+    /// watch (the cut is a reset, so it needs no timeout), the backoff of at most 1 s, the watch event, and half the
+    /// drain grace (0.4 s).
     const DRAIN_BOUND: Duration = Duration::from_millis(1500);
     let mut fleet = harness::fleet(Duration::from_secs(60));
     let list = fleet.registry("listen = \"127.0.0.1:0\"\n").expect("the list service starts");
-    let ways = [(); 2].map(|()| Relay::start(list.address()).expect("a relay starts"));
+    let relays = [(); 2].map(|()| Relay::start(list.address()).expect("a relay starts"));
     let backends: Vec<Backend> = (0..3)
         .map(|n| Backend::start(&format!("b-{n}"), Duration::from_millis(5)).expect("a backend starts"))
         .collect();
-    let _beats: Vec<Heartbeats> = backends
+    let _heartbeats: Vec<Heartbeats> = backends
         .iter()
         .map(|b| Heartbeats::start(list.address(), b.name(), b.address(), 5000, Duration::from_millis(500)))
         .collect();
@@ -141,16 +142,16 @@
     let proxies: Vec<Process> = (0..PROXIES)
         .map(|me| {
             let config = harness::config(&harness::settings(me, PROXIES, 0.4), &empty, 0x5a1 + me as u64);
-            fleet.proxy_of(&config, &[ways[0].address(), ways[1].address()]).expect("a proxy starts")
+            fleet.proxy_of(&config, &[relays[0].address(), relays[1].address()]).expect("a proxy starts")
         })
         .collect();
     let front = Front::new(proxies.iter().map(Process::address).collect());
     let start = Instant::now();
     let load = Load {
         clients: 4,
-        most: 3000,
-        until: start + Duration::from_millis(3500),
-        left_ms: 1500,
+        max_requests: 3000,
+        send_until: start + Duration::from_millis(3500),
+        remaining_ms: 1500,
         pause: Duration::from_millis(2),
     };
     let traffic = {
@@ -158,10 +159,10 @@
         std::thread::spawn(move || client::run(&front, load))
     };
     std::thread::sleep(Duration::from_millis(600));
-    // Each proxy begins at a random address: the one that more proxies began at is cut.
-    let began = |way: &Relay| way.counts().accepted.load(std::sync::atomic::Ordering::Relaxed);
-    let first = if began(&ways[0]) >= began(&ways[1]) { &ways[0] } else { &ways[1] };
-    first.set(Fault::Cut);
+    // Each proxy starts at a random address: the one with more connections is cut.
+    let accepted = |relay: &Relay| relay.counts().accepted.load(std::sync::atomic::Ordering::Relaxed);
+    let cut = if accepted(&relays[0]) >= accepted(&relays[1]) { &relays[0] } else { &relays[1] };
+    cut.set(Fault::Cut);
     std::thread::sleep(Duration::from_millis(300));
     let drain =
         registry::call(list.address(), "POST", "/v1/drain", &json!({"instanceId": backends[DRAINED].name()}));
@@ -170,7 +171,7 @@
     let records = traffic.join().expect("the clients end");
     fleet.check_deadline();
 
-    let served = records.iter().filter(|r| r.end == Final::Answered(200)).count();
+    let served = records.iter().filter(|r| r.outcome == Outcome::Answered(200)).count();
     let late: Vec<Duration> = backends[DRAINED]
         .seen()
         .iter()
@@ -187,8 +188,14 @@
         "failover: {} requests, {served} served; last send to the drained backend {latest:?} after the drain",
         records.len()
     );
-    assert!(first.counts().reset.load(std::sync::atomic::Ordering::Relaxed) > 0, "the first node was cut");
-    assert!(records.iter().all(|r| matches!(r.end, Final::Answered(_))), "every request answered");
+    assert!(
+        cut.counts().reset.load(std::sync::atomic::Ordering::Relaxed) > 0,
+        "the cut relay reset connections"
+    );
+    assert!(records.iter().all(|r| matches!(r.outcome, Outcome::Answered(_))), "every request answered");
     assert!(served * 100 >= records.len() * 98, "{served} of {} served", records.len());
-    assert!(late.is_empty(), "sends to the drained backend past {DRAIN_BOUND:?}: {late:?}");
+    assert!(
+        late.is_empty(),
+        "sends to the drained backend more than {DRAIN_BOUND:?} after the drain: {late:?}"
+    );
 }
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -19,7 +19,7 @@
 mod upgrade;
 
 use harness::backend::Backend;
-use harness::client::{self, Final, Front, Kind, Load};
+use harness::client::{self, Front, Kind, Load, Outcome};
 use harness::discovery::{Discovery, Listing};
 use harness::process::Process;
 use harness::relay::{Fault, Relay};
@@ -29,7 +29,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Waits, within a bound, until the proxy answers `GET /-/ready` with 200.
+/// Waits until the proxy answers `GET /-/ready` with 200; panics if it does not within 10 s.
 fn ready(proxy: &Process) {
     let deadline = Instant::now() + Duration::from_secs(10);
     loop {
@@ -41,21 +41,21 @@
         if answered.is_some_and(|a| a.status() == 200) {
             return;
         }
-        assert!(Instant::now() < deadline, "proxy at {} never ready", proxy.address());
+        assert!(Instant::now() < deadline, "proxy at {} did not become ready", proxy.address());
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Five proxies before six backends. Mid-traffic one backend is black-holed, one proxy is killed and
-/// another backend is told to drain. Every request has exactly one end, no `send-sms` reaches a backend
-/// twice, and nothing new reaches the draining backend 250 ms after its proxy was told.
+/// Five proxies in front of six backends. During traffic one backend is black-holed, one proxy is killed and another
+/// backend starts to drain. Every request has exactly one outcome, no `send-sms` reaches a backend twice, and no new
+/// request reaches the draining backend more than 250 ms after the sending proxy was notified.
 #[test]
 fn a_black_hole_a_killed_proxy_and_a_drain_lose_nothing() {
     const PROXIES: usize = 5;
     const BACKENDS: usize = 6;
     const CLIENTS: usize = 8;
     const KILLED: usize = 3;
-    const HOLED: usize = 1;
+    const BLACK_HOLED: usize = 1;
     const DRAINED: usize = 5;
     const DRAIN_BOUND: Duration = Duration::from_millis(250);
     let mut fleet = harness::fleet(Duration::from_secs(60));
@@ -82,84 +82,97 @@
     let start = Instant::now();
     let load = Load {
         clients: CLIENTS,
-        most: 4000,
-        until: start + Duration::from_millis(3500),
-        left_ms: 1500,
+        max_requests: 4000,
+        send_until: start + Duration::from_millis(3500),
+        remaining_ms: 1500,
         pause: Duration::from_millis(2),
     };
     let traffic = {
         let front = front.clone();
         std::thread::spawn(move || client::run(&front, load))
     };
-    // The faults, at fixed offsets into the traffic.
+    // The faults start at fixed offsets into the traffic.
     std::thread::sleep(Duration::from_millis(700));
-    relays[HOLED].set(Fault::BlackHole);
+    relays[BLACK_HOLED].set(Fault::BlackHole);
     std::thread::sleep(Duration::from_millis(600));
-    front.take_out(KILLED);
+    front.mark_down(KILLED);
     proxies[KILLED].signal(Signal::SIGKILL);
     std::thread::sleep(Duration::from_millis(700));
     let drain = discovery.set_lifecycle(&format!("b-{DRAINED}"), "DRAINING");
     let records = traffic.join().expect("the clients end");
     fleet.check_deadline();
-    assert_eq!(proxies[KILLED].wait_exit(Duration::from_secs(5)), Some(false), "the killed proxy is gone");
+    assert_eq!(proxies[KILLED].wait_exit(Duration::from_secs(5)), Some(false), "the killed proxy has exited");
 
-    // Exactly one end each, and none lost but with the killed proxy.
-    let by_end = |wanted: fn(&Final) -> bool| records.iter().filter(|r| wanted(&r.end)).count();
-    let served = by_end(|e| *e == Final::Answered(200));
-    let answered = by_end(|e| matches!(e, Final::Answered(_)));
-    let lost_with_proxy = by_end(|e| matches!(e, Final::LostWithProxy(KILLED)));
-    let broken: Vec<_> =
-        records.iter().filter(|r| matches!(r.end, Final::Broken(_) | Final::Wrong(_))).collect();
+    // Every request has one outcome, and requests are lost only with the killed proxy.
+    let count_of = |wanted: fn(&Outcome) -> bool| records.iter().filter(|r| wanted(&r.outcome)).count();
+    let served = count_of(|e| *e == Outcome::Answered(200));
+    let answered = count_of(|e| matches!(e, Outcome::Answered(_)));
+    let lost_with_proxy = count_of(|e| matches!(e, Outcome::LostWithProxy(KILLED)));
+    let broken: Vec<_> = records
+        .iter()
+        .filter(|r| matches!(r.outcome, Outcome::Broken(_) | Outcome::WrongAnswer(_)))
+        .collect();
     eprintln!(
         "fleet: {} requests, {served} served, {answered} answered, {lost_with_proxy} lost with the killed proxy",
         records.len()
     );
-    assert!(broken.is_empty(), "requests without a proper end: {broken:?}");
-    assert_eq!(answered + lost_with_proxy, records.len(), "every request has one end");
-    assert!(lost_with_proxy <= CLIENTS, "only what the killed proxy held is lost with it");
-    assert!(records.len() > 500, "traffic ran: {} requests", records.len());
+    assert!(broken.is_empty(), "requests broken or answered wrongly: {broken:?}");
+    assert_eq!(
+        answered + lost_with_proxy,
+        records.len(),
+        "every request is answered or lost with the killed proxy"
+    );
+    assert!(lost_with_proxy <= CLIENTS, "at most one request per client is lost with the killed proxy");
+    assert!(records.len() > 500, "too little traffic: {} requests", records.len());
 
-    // Who sent what: every try's id, with its proxy.
+    // The proxy of each attempt, by the attempt's id.
     let sender: HashMap<&str, usize> =
-        records.iter().flat_map(|r| r.tries.iter().map(|(p, txn)| (txn.as_str(), *p))).collect();
+        records.iter().flat_map(|r| r.attempts.iter().map(|(p, txn)| (txn.as_str(), *p))).collect();
     let mut sms = HashSet::new();
     for backend in &backends {
         assert_eq!(backend.overflowed(), 0);
         for seen in backend.seen() {
-            assert!(sender.contains_key(seen.txn.as_str()), "{} saw an id no client sent", backend.name());
+            assert!(
+                sender.contains_key(seen.txn.as_str()),
+                "{} received an id that no client sent",
+                backend.name()
+            );
             if seen.lane == Kind::Sms.lane() {
                 assert!(sms.insert(seen.txn.clone()), "send-sms {} reached a backend twice", seen.txn);
             }
         }
     }
 
-    // Nothing new at the drained backend once its sender was told, past the bound.
+    // No request reaches the drained backend more than the bound after its proxy was notified.
     let mut late = Vec::new();
-    let told: Vec<Option<Instant>> = (0..PROXIES).map(|p| discovery.told(p, drain)).collect();
-    for (p, at) in told.iter().enumerate().filter(|(p, _)| *p != KILLED) {
-        assert!(at.is_some(), "proxy {p} was never told of the drain");
+    let notified: Vec<Option<Instant>> = (0..PROXIES).map(|p| discovery.notified_at(p, drain)).collect();
+    for (p, at) in notified.iter().enumerate().filter(|(p, _)| *p != KILLED) {
+        assert!(at.is_some(), "proxy {p} was not notified of the drain");
     }
     for seen in backends[DRAINED].seen() {
         let p = sender[seen.txn.as_str()];
-        if let Some(at) = told[p].filter(|at| seen.at > *at + DRAIN_BOUND) {
+        if let Some(at) = notified[p].filter(|at| seen.at > *at + DRAIN_BOUND) {
             late.push((p, seen.at - at));
         }
     }
     let after: Vec<Duration> = backends[DRAINED]
         .seen()
         .iter()
-        .filter_map(|s| told[sender[s.txn.as_str()]].filter(|t| *t < s.at).map(|t| s.at - t))
+        .filter_map(|s| notified[sender[s.txn.as_str()]].filter(|t| *t < s.at).map(|t| s.at - t))
         .collect();
-    let after_told = after.len();
-    eprintln!("fleet: latest send after the news {:?}", after.iter().max());
-    let again = records.iter().filter(|r| r.tries.len() > 1).count();
+    let after_notified = after.len();
+    eprintln!("fleet: latest send after the notification {:?}", after.iter().max());
+    let retried = records.iter().filter(|r| r.attempts.len() > 1).count();
     eprintln!(
-        "fleet: {after_told} sends to the drained backend after the news, none late; {again} sent again"
+        "fleet: {after_notified} sends to the drained backend after the notification; {retried} requests retried"
+    );
+    assert!(
+        late.is_empty(),
+        "sends to the drained backend more than {DRAIN_BOUND:?} after the notification: {late:?}"
     );
-    assert!(late.is_empty(), "sends to the drained backend past {DRAIN_BOUND:?}: {late:?}");
 
-    // What held: most was served, and the black hole swallowed what reached it.
-    let swallowed = relays[HOLED].counts().swallowed.load(std::sync::atomic::Ordering::Relaxed);
+    // Nine of ten requests are served although the black hole swallowed what reached it.
+    let swallowed = relays[BLACK_HOLED].counts().swallowed.load(std::sync::atomic::Ordering::Relaxed);
     eprintln!("fleet: {swallowed} bytes swallowed by the black hole; wall {:?}", start.elapsed());
     assert!(served * 10 >= records.len() * 9, "{served} of {} served", records.len());
 }
--- a/tests/fleet/replicated.rs
+++ b/tests/fleet/replicated.rs
@@ -4,12 +4,12 @@
 
 use crate::harness;
 use crate::harness::backend::Backend;
-use crate::harness::client::{self, Final, Front, Load};
+use crate::harness::client::{self, Front, Load, Outcome};
 use crate::harness::cluster::Cluster;
 use crate::harness::process::{Process, StartError};
 use crate::harness::registry::{self, registration};
 use crate::harness::relay::{Fault, Relay};
-use crate::harness::watchers::{Seen, Watchers};
+use crate::harness::watchers::{WatcherRecord, Watchers};
 use nix::sys::signal::Signal;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -91,7 +91,7 @@
 
 /// Asserts that each acknowledged id is on every node, and that no watcher saw a revision lower than one before or ended
 /// on another list than the nodes'.
-fn assert_nothing_lost(cluster: &Cluster, acknowledged: &BTreeMap<String, u64>, seen: &[Seen]) {
+fn assert_nothing_lost(cluster: &Cluster, acknowledged: &BTreeMap<String, u64>, seen: &[WatcherRecord]) {
     let last = acknowledged.values().copied().max().unwrap_or(1);
     let revision = cluster.agreed(last, TIMEOUT);
     let (_, list) = listed(cluster.front(0));
@@ -101,7 +101,7 @@
     let missing: Vec<_> = acknowledged.keys().filter(|id| !list.contains(*id)).collect();
     assert!(missing.is_empty(), "acknowledged and lost: {missing:?}");
     for (w, seen) in seen.iter().enumerate() {
-        assert_eq!(seen.back, 0, "watcher {w} saw a revision go back");
+        assert_eq!(seen.regressions, 0, "watcher {w} saw a revision go back");
         if seen.revisions.last().is_some_and(|(r, _)| *r == revision) {
             assert!(seen.list.keys().eq(list.iter()), "watcher {w} ends on another list");
         }
@@ -116,7 +116,7 @@
     let leader = cluster.leader();
     let watchers = Watchers::start(&cluster.fronts(), WATCHERS);
     let first = register(cluster.front(leader), "first", 1).expect("acknowledged");
-    watchers.reached(first, TIMEOUT);
+    watchers.wait_for_revision(first, TIMEOUT);
     let writers = Writers::start(&cluster.fronts(), 3, Duration::from_millis(5));
     std::thread::sleep(Duration::from_millis(300));
 
@@ -127,13 +127,13 @@
     let elected = killed.elapsed();
     let after = register(cluster.front(next), "after", 2).expect("the new leader acknowledges");
     let written = Instant::now();
-    watchers.reached(after, TIMEOUT);
+    watchers.wait_for_revision(after, TIMEOUT);
     let mut delays = watchers.delays(after, written);
     delays.sort();
     cluster.start_node(&mut fleet, leader, "").expect("the killed node starts again");
     let (acknowledged, unacknowledged) = writers.end();
     let last = cluster.agreed(acknowledged.values().copied().max().unwrap_or(after), TIMEOUT);
-    watchers.reached(last, TIMEOUT);
+    watchers.wait_for_revision(last, TIMEOUT);
     let seen = watchers.end();
     eprintln!(
         "leader killed: next in {elected:?}, {} acknowledged, {unacknowledged} calls not; news after it to {WATCHERS} \
@@ -375,24 +375,24 @@
     let relays: Vec<Relay> =
         proxies.iter().map(|p| Relay::start(p.address()).expect("a relay starts")).collect();
     let front = Front::new(relays.iter().map(Relay::address).collect());
-    let load = |ms: u64, most: usize| Load {
+    let load = |ms: u64, max_requests: usize| Load {
         clients: 6,
-        most,
-        until: Instant::now() + Duration::from_millis(ms),
-        left_ms: 1_500,
+        max_requests,
+        send_until: Instant::now() + Duration::from_millis(ms),
+        remaining_ms: 1_500,
         pause: Duration::from_millis(5),
     };
     let served = |records: &[client::Record]| {
-        let broken: Vec<_> = records.iter().filter(|r| !matches!(r.end, Final::Answered(_))).collect();
+        let broken: Vec<_> = records.iter().filter(|r| !matches!(r.outcome, Outcome::Answered(_))).collect();
         assert!(broken.is_empty(), "requests without a proper end: {broken:?}");
-        records.iter().filter(|r| r.end == Final::Answered(200)).count() as f64 / records.len() as f64
+        records.iter().filter(|r| r.outcome == Outcome::Answered(200)).count() as f64 / records.len() as f64
     };
     let up_share = served(&client::run(&front, load(down.min(5_000), 100_000)));
 
     (0..3).for_each(|n| cluster.kill(n));
     let killed = Instant::now();
     // A proxy restarted now knows only what is on its disk.
-    front.take_out(RESTARTED);
+    front.mark_down(RESTARTED);
     proxies[RESTARTED].kill();
     let config = knows_nothing(RESTARTED, PROXIES, &cache(RESTARTED));
     let restarted = fleet.proxy_of(&config, &cluster.fronts()).expect("the proxy starts again");
@@ -552,7 +552,7 @@
     cluster.leader();
     let (acknowledged, unacknowledged) = writers.end();
     let last = cluster.agreed(acknowledged.values().copied().max().unwrap_or(1), TIMEOUT);
-    watchers.reached(last, TIMEOUT);
+    watchers.wait_for_revision(last, TIMEOUT);
     let seen = watchers.end();
     assert_nothing_lost(&cluster, &acknowledged, &seen);
     fleet.check_deadline();
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -11,7 +11,7 @@
 mod harness;
 
 use harness::backend::Backend;
-use harness::client::{self, Final, Front, Load};
+use harness::client::{self, Front, Load, Outcome};
 use harness::program::{self, Service};
 use harness::registry::{call, registration};
 use serde_json::{Value, json};
@@ -190,10 +190,15 @@
         assert!(Instant::now() < deadline, "the proxy did not become ready in time");
         std::thread::sleep(Duration::from_millis(10));
     }
-    let load =
-        Load { clients: 2, most: 40, until: deadline, left_ms: 1_500, pause: Duration::from_millis(5) };
+    let load = Load {
+        clients: 2,
+        max_requests: 40,
+        send_until: deadline,
+        remaining_ms: 1_500,
+        pause: Duration::from_millis(5),
+    };
     let records = client::run(&Front::new(vec![proxy.address()]), load);
-    let served = records.iter().filter(|record| record.end == Final::Answered(200)).count();
+    let served = records.iter().filter(|record| record.outcome == Outcome::Answered(200)).count();
     assert_eq!((served, records.len()), (40, 40), "{records:?}");
     drop(backends);
     let _ = std::fs::remove_dir_all(dir);
