--- a/tests/fleet/durable.rs
+++ b/tests/fleet/durable.rs
@@ -1,5 +1,6 @@
-//! A list-service node on disk: SIGKILLed after a burst of writes, it recovers every acknowledged one; a log damaged in the
-//! middle stops its start with a clear error; a write cut short at the end is cut off and reported.
+//! A list-service node with its log on disk: after a SIGKILL that follows a burst of writes it recovers every
+//! acknowledged one. A log damaged in the middle stops its start with a clear error; a truncated last record is cut
+//! off and reported.
 
 use crate::harness;
 use crate::harness::process::StartError;
@@ -17,7 +18,7 @@
     format!("listen = \"127.0.0.1:0\"\ndata_dir = \"{}\"\n", dir.display())
 }
 
-/// The full list: its revision and its entries by id, with their lifecycle and weight.
+/// The full list: its revision, and the id, lifecycle and weight of each entry.
 fn listed(at: SocketAddr) -> (u64, Vec<(String, String, f64)>) {
     let (status, list) =
         registry::call(at, "GET", "/api/targets", &Value::Null).expect("the list is answered");
@@ -38,7 +39,7 @@
     let mut node = fleet.registry(&config(&dir)).expect("the list service starts");
     let at = node.address();
 
-    // A burst of registrations, then drains and weights on some: each acknowledged with its revision.
+    // A burst of registrations, then drains and weight changes of some; each is acknowledged with its revision.
     let start = Instant::now();
     let mut last = 0;
     for n in 0..REGISTRATIONS {
@@ -52,42 +53,46 @@
     let registrations_per_s = REGISTRATIONS as f64 / start.elapsed().as_secs_f64();
     for n in (0..REGISTRATIONS).step_by(10) {
         let drained = registry::call(at, "POST", "/v1/drain", &json!({"instanceId": format!("s-{n}")}));
-        let weighed = registry::call(
+        let weight_set = registry::call(
             at,
             "POST",
             "/v1/weight",
             &json!({"instanceId": format!("s-{}", n + 1), "weight": 2.5}),
         );
         assert_eq!(drained.map(|(s, _)| s), Some(200));
-        last = weighed.expect("a weight is answered").1["revision"].as_u64().expect("a revision");
+        last = weight_set.expect("a weight change is answered").1["revision"].as_u64().expect("a revision");
     }
     let before = listed(at);
     assert_eq!(before.0, last);
     assert_eq!(before.1.len(), REGISTRATIONS);
     eprintln!(
-        "durable: {REGISTRATIONS} registrations acknowledged at {registrations_per_s:.0} a second, each fsynced"
+        "durable: {REGISTRATIONS} registrations acknowledged, {registrations_per_s:.0} per second, each fsynced"
     );
 
-    // Killed with no warning, and started again on the same directory.
+    // Killed without warning and started again on the same directory.
     node.signal(Signal::SIGKILL);
     assert_eq!(node.wait_exit(Duration::from_secs(5)), Some(false));
-    let again = fleet.registry(&config(&dir)).expect("the list service starts again");
-    assert_eq!(listed(again.address()), before, "every acknowledged write is back, at the same revision");
-    drop(again);
+    let restarted = fleet.registry(&config(&dir)).expect("the list service starts again");
+    assert_eq!(
+        listed(restarted.address()),
+        before,
+        "every acknowledged write is recovered, at the same revision"
+    );
+    drop(restarted);
 
-    // A write cut short at the end: cut off at start, and nothing acknowledged is missing.
+    // A truncated record at the end is cut off at the start; no acknowledged write is missing.
     let log = dir.join("raft.log");
     std::fs::OpenOptions::new()
         .append(true)
         .open(&log)
         .and_then(|mut f| f.write_all(&[200, 0, 0, 0, 1]))
-        .expect("torn");
+        .expect("a torn record is appended");
     let torn = fleet.registry(&config(&dir)).expect("a torn last record does not stop the start");
     assert_eq!(listed(torn.address()), before);
     drop(torn);
 
-    // One byte changed in the middle: the start stops, naming the file and the byte.
-    let mut bytes = std::fs::read(&log).expect("the log reads");
+    // With one byte changed in the middle, the node does not start; the error names the file and the byte.
+    let mut bytes = std::fs::read(&log).expect("the log is read");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 0x20;
     std::fs::write(&log, &bytes).expect("the log is written");
@@ -95,8 +100,8 @@
         Err(StartError::Said(line)) => {
             assert!(line.contains("raft.log") && line.contains("at byte"), "{line}");
         }
-        Err(other) => panic!("not told clearly: {other:?}"),
-        Ok(_) => panic!("a damaged log was taken in"),
+        Err(other) => panic!("the error is not clear: {other:?}"),
+        Ok(_) => panic!("a damaged log was accepted"),
     }
     fleet.check_deadline();
     let _ = std::fs::remove_dir_all(&dir);
--- a/tests/fleet/failing_disk.rs
+++ b/tests/fleet/failing_disk.rs
@@ -11,9 +11,9 @@
 use std::time::{Duration, Instant};
 
 const FLEET_DEADLINE: Duration = Duration::from_secs(60);
-/// When the disk starts and stops failing, in milliseconds from the node's start.
+/// When the disk starts and stops failing, in milliseconds after the node's start.
 const FAILURE_PERIOD_MS: [u64; 2] = [1_000, 3_000];
-/// How long registrations are made.
+/// For how long the test registers backends.
 const DURATION: Duration = Duration::from_millis(4_500);
 
 fn listed(at: SocketAddr) -> BTreeSet<String> {
@@ -23,7 +23,7 @@
     entries.iter().filter_map(|entry| entry["instanceId"].as_str().map(str::to_string)).collect()
 }
 
-fn recovers_from(name: &str, rules: &[&str]) {
+fn assert_recovers_from(name: &str, rules: &[&str]) {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("failing-{name}-{}", std::process::id()));
     let counts = dir.with_extension("counts");
     let _ = std::fs::remove_dir_all(&dir);
@@ -43,50 +43,50 @@
         let id = format!("s-{n}");
         let address = SocketAddr::from(([127, 0, 0, 1], 20_000 + n as u16));
         let answer = call(at, "POST", "/v1/register", &registration(&id, address, 300_000));
-        let is_good = matches!(answer, Some((200, _)));
-        if is_good {
+        let is_acknowledged = matches!(answer, Some((200, _)));
+        if is_acknowledged {
             acknowledged.insert(id);
         } else {
             rejected += 1;
         }
         if start.elapsed() > Duration::from_millis(to + 500) {
-            after_failure.push(is_good);
+            after_failure.push(is_acknowledged);
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert!(read_counts(&counts).iter().sum::<u64>() > 0, "{name}: the disk rejected nothing");
+    assert!(read_counts(&counts).iter().sum::<u64>() > 0, "{name}: no call to the disk failed");
     assert!(
-        after_failure.len() > 10 && after_failure.iter().all(|good| *good),
-        "{name}: after the disk is back {after_failure:?}"
+        after_failure.len() > 10 && after_failure.iter().all(|is_acknowledged| *is_acknowledged),
+        "{name}: writes acknowledged after the disk works again: {after_failure:?}"
     );
     eprintln!("{name}: {} acknowledged, {rejected} not", acknowledged.len());
     let lost: Vec<_> = acknowledged.difference(&listed(at)).cloned().collect();
-    assert!(lost.is_empty(), "{name}: acknowledged and not listed: {lost:?}");
+    assert!(lost.is_empty(), "{name}: acknowledged but not listed: {lost:?}");
     node.kill();
     fleet.set_environment(Vec::new());
-    let node = fleet.registry(&config).expect("it starts again on what its disk holds");
+    let node = fleet.registry(&config).expect("the node starts again from its disk");
     let lost: Vec<_> = acknowledged.difference(&listed(node.address())).cloned().collect();
-    assert!(lost.is_empty(), "{name}: acknowledged and gone after a kill: {lost:?}");
+    assert!(lost.is_empty(), "{name}: acknowledged but lost after a kill: {lost:?}");
     let _ = std::fs::remove_dir_all(&dir);
     let _ = std::fs::remove_file(&counts);
 }
 
 #[test]
 fn a_node_recovers_from_writes_that_fail_for_a_while() {
-    recovers_from("writes", &["write=ENOSPC@1"]);
+    assert_recovers_from("writes", &["write=ENOSPC@1"]);
 }
 
 #[test]
 fn a_node_recovers_from_syncs_that_fail_for_a_while() {
-    recovers_from("syncs", &["sync=EIO@0.7"]);
+    assert_recovers_from("syncs", &["sync=EIO@0.7"]);
 }
 
 #[test]
 fn a_node_recovers_from_short_and_occasionally_failing_writes() {
-    recovers_from("short", &["write=short@0.3", "write=EIO@0.2", "sync=EIO@0.2"]);
+    assert_recovers_from("short", &["write=short@0.3", "write=EIO@0.2", "sync=EIO@0.2"]);
 }
 
-/// A kill may leave a mark half written; the node then starts with the one before it, in the other slot.
+/// A kill may leave a mark half-written; the node then starts with the previous mark, in the other slot.
 #[test]
 fn a_node_starts_with_one_mark_half_written() {
     const SLOT_BYTES: usize = 512;
@@ -100,11 +100,11 @@
             let path = dir.join("raft.mark");
             let mut bytes = std::fs::read(&path).expect("a mark");
             bytes[slot * SLOT_BYTES + 9..slot * SLOT_BYTES + 20].fill(b'x');
-            std::fs::write(&path, bytes).expect("written");
+            std::fs::write(&path, bytes).expect("the mark is written");
         }
         let node = fleet.registry(&config);
         if damaged.len() == 2 {
-            assert!(node.is_err(), "with both damaged nothing tells how long the log was");
+            assert!(node.is_err(), "with both marks damaged the log's length is unknown");
             break;
         }
         let mut node = node.unwrap_or_else(|error| panic!("{damaged:?}: {error}"));
--- a/tests/fleet/liveness.rs
+++ b/tests/fleet/liveness.rs
@@ -1,6 +1,6 @@
-//! Renewals that the list service's leader keeps in memory, on three real nodes with faults between them: live backends
-//! stay listed whatever happens to the leader, dead ones are removed within the stated bound, and an idle fleet writes
-//! nothing. `LIVENESS_ROUNDS` and `LIVENESS_ENTRIES` set the rounds of faults and the number of backends.
+//! Renewals, which the list service's leader keeps in memory, on three real nodes with faults between them: live
+//! backends stay listed across the leader's faults, dead ones are removed within the stated bound, and an idle fleet
+//! writes nothing. `LIVENESS_ROUNDS` and `LIVENESS_ENTRIES` set the rounds of faults and the number of backends.
 
 use crate::harness;
 use crate::harness::cluster::Cluster;
@@ -20,20 +20,20 @@
 
 const TTL: Duration = Duration::from_millis(2_000);
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
-/// How long a machine waits for a node before it calls the next: all three in turn take well under the TTL.
+/// The time after which a machine calls the next node: calls to all three together take well under the TTL.
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// The longest election timeout of the harness's nodes.
 const MAX_ELECTION_TIMEOUT: Duration = Duration::from_millis(500);
 /// Two election timeouts, and as much again for a split vote.
 const MAX_TIME_WITHOUT_LEADER: Duration = Duration::from_millis(2_000);
-/// How often the leader ends what has expired.
+/// The interval at which the leader removes expired entries.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 /// The time allowed for calls, on a busy machine too.
 const CALL_ALLOWANCE: Duration = Duration::from_millis(500);
 const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Backends renewed in one call.
+/// The number of backends renewed in one call.
 const BATCH_SIZE: usize = 100;
-/// Writers that register at once: on a slow disk one after another would take longer than the TTL for a batch.
+/// The number of concurrent writers: on a slow disk, a single one would take longer than the TTL to register a batch.
 const WRITERS: usize = 8;
 
 fn from_env(name: &str, default: usize) -> usize {
@@ -60,7 +60,7 @@
     revision_and_list(at).map(|(_, list)| list)
 }
 
-/// One call for everything that a machine keeps alive; none where it is not answered in time.
+/// One call that renews everything on a machine; `None` if it is not answered in time.
 fn keep_alive(at: SocketAddr, body: Value) -> Option<(u16, Value)> {
     let called = Loop::shared().wait(move || async move {
         let call = call_here(at, "POST", "/v1/keepalive", &body);
@@ -69,25 +69,25 @@
     called.flatten()
 }
 
-/// What machines do to keep their backends listed: a call for each `BATCH_SIZE` of them, every `RENEWAL_INTERVAL`, at one node and at
-/// the next after a failure.
+/// The renewals of machines' backends: every `RENEWAL_INTERVAL` one call per `BATCH_SIZE` backends, to one node and,
+/// after a failure, to the next.
 struct Machines {
-    ended: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<usize>>,
     answered: Arc<AtomicUsize>,
 }
 
 impl Machines {
     fn start(fronts: &[SocketAddr], backends: std::ops::Range<usize>) -> Self {
-        let (ended, answered) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+        let (stop, answered) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
         let ids: Vec<String> = backends.map(id).collect();
         let threads = ids.chunks(BATCH_SIZE).enumerate().map(|(number, ids)| {
             let body = json!({"instances": ids});
-            let (ended, answered, fronts) = (ended.clone(), answered.clone(), fronts.to_vec());
+            let (stop, answered, fronts) = (stop.clone(), answered.clone(), fronts.to_vec());
             std::thread::spawn(move || {
                 let (mut node, mut lost) = (number, 0);
-                while !ended.load(Ordering::SeqCst) {
-                    let at = Instant::now();
+                while !stop.load(Ordering::SeqCst) {
+                    let call_started_at = Instant::now();
                     match keep_alive(fronts[node % fronts.len()], body.clone()) {
                         Some((200, answer)) => {
                             lost += answer["lost"]["instances"].as_array().map_or(0, Vec::len);
@@ -95,32 +95,32 @@
                         }
                         _ => node += 1,
                     }
-                    std::thread::sleep(RENEWAL_INTERVAL.saturating_sub(at.elapsed()));
+                    std::thread::sleep(RENEWAL_INTERVAL.saturating_sub(call_started_at.elapsed()));
                 }
                 lost
             })
         });
         let threads = threads.collect();
-        Self { ended, threads, answered }
+        Self { stop, threads, answered }
     }
 
-    /// Stops them; returns how many backends were reported lost to them.
+    /// Stops the renewals; returns how many backends the answers reported as lost.
     fn end(self) -> usize {
-        self.ended.store(true, Ordering::SeqCst);
-        self.threads.into_iter().map(|thread| thread.join().expect("it ends")).sum()
+        self.stop.store(true, Ordering::SeqCst);
+        self.threads.into_iter().map(|thread| thread.join().expect("a renewal thread panicked")).sum()
     }
 }
 
-/// Watches the lists of all nodes for backends that are missing. A list older than one seen is ignored, as by
-/// proxies: a node that has just started has not applied all of its log yet.
+/// Polls the lists of all nodes; returns the backends that were missing from one. Lists older than the latest are
+/// ignored, as by proxies: a node that has just started has not applied all of its log yet.
 fn watch(
     fronts: Vec<SocketAddr>,
     all: BTreeSet<String>,
-    ended: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 ) -> JoinHandle<BTreeSet<String>> {
     std::thread::spawn(move || {
         let (mut missing, mut latest) = (BTreeSet::new(), 0);
-        while !ended.load(Ordering::SeqCst) {
+        while !stop.load(Ordering::SeqCst) {
             for (revision, list) in fronts.iter().filter_map(|at| revision_and_list(*at)) {
                 if revision >= latest {
                     latest = revision;
@@ -133,13 +133,13 @@
     })
 }
 
-/// Faults of the leader, each lifted after a while.
+/// The faults of the leader; each is lifted after a while.
 #[derive(Clone, Copy, Debug)]
 enum LeaderFault {
     Killed,
     Paused,
     CannotSend,
-    CannotHear,
+    CannotReceive,
 }
 
 impl LeaderFault {
@@ -147,17 +147,17 @@
         let others = (0..cluster.size()).filter(|n| *n != leader);
         match self {
             Self::Killed => cluster.kill(leader),
-            Self::Paused => cluster.node(leader).expect("it runs").signal(Signal::SIGSTOP),
+            Self::Paused => cluster.node(leader).expect("the node runs").signal(Signal::SIGSTOP),
             Self::CannotSend => others.for_each(|n| cluster.link(leader, n, Fault::BlackHole)),
-            Self::CannotHear => others.for_each(|n| cluster.link(n, leader, Fault::BlackHole)),
+            Self::CannotReceive => others.for_each(|n| cluster.link(n, leader, Fault::BlackHole)),
         }
     }
 
     fn lift(self, fleet: &mut harness::process::Fleet, cluster: &mut Cluster, leader: usize) {
         match self {
-            Self::Killed => cluster.start_node(fleet, leader, "").expect("it starts again"),
-            Self::Paused => cluster.node(leader).expect("it runs").signal(Signal::SIGCONT),
-            Self::CannotSend | Self::CannotHear => cluster.isolate(leader, Fault::Pass),
+            Self::Killed => cluster.start_node(fleet, leader, "").expect("the node starts again"),
+            Self::Paused => cluster.node(leader).expect("the node runs").signal(Signal::SIGCONT),
+            Self::CannotSend | Self::CannotReceive => cluster.isolate(leader, Fault::Pass),
         }
     }
 }
@@ -198,51 +198,59 @@
     cluster.leader();
     let mut machines = register_and_renew(&cluster, 0..entries);
     cluster.agreed(1, AGREEMENT_TIMEOUT);
-    let ended = Arc::new(AtomicBool::new(false));
-    let watching = watch(cluster.fronts(), (0..entries).map(id).collect(), ended.clone());
+    let stop = Arc::new(AtomicBool::new(false));
+    let watcher = watch(cluster.fronts(), (0..entries).map(id).collect(), stop.clone());
 
-    let faults = [LeaderFault::Killed, LeaderFault::Paused, LeaderFault::CannotSend, LeaderFault::CannotHear];
+    let faults =
+        [LeaderFault::Killed, LeaderFault::Paused, LeaderFault::CannotSend, LeaderFault::CannotReceive];
     for fault in (0..rounds).flat_map(|_| faults) {
         let leader = cluster.leader();
         fault.inject(&mut cluster, leader);
-        // Longer than the fault's bound, with the next leader in place for a while.
+        // Lasts longer than the longest election timeout, so that the next leader is in place for a while.
         std::thread::sleep(MAX_ELECTION_TIMEOUT + Duration::from_millis(1_000));
         fault.lift(&mut fleet, &mut cluster, leader);
         cluster.leader();
         let before: usize = machines.iter().map(|m| m.answered.load(Ordering::SeqCst)).sum();
         std::thread::sleep(TTL);
         let after: usize = machines.iter().map(|m| m.answered.load(Ordering::SeqCst)).sum();
-        assert!(after > before, "{fault:?}: nothing is renewed any more");
+        assert!(after > before, "{fault:?}: no renewal is answered after the fault");
     }
-    ended.store(true, Ordering::SeqCst);
-    assert_eq!(watching.join().expect("it ends"), BTreeSet::new(), "live backends were not listed");
+    stop.store(true, Ordering::SeqCst);
+    assert_eq!(
+        watcher.join().expect("the watcher panicked"),
+        BTreeSet::new(),
+        "live backends were not listed"
+    );
 
-    // The last machine dies with the leader: its backends are removed within the bound, and no others.
+    // The last machine and the leader die together: only that machine's backends are removed, within the bound.
     let dead = machines.pop().expect("a machine").end();
     let leader = cluster.leader();
     cluster.kill(leader);
-    let died = Instant::now();
+    let killed_at = Instant::now();
     let bound = TTL + MAX_TIME_WITHOUT_LEADER + TTL + EXPIRY_INTERVAL + CALL_ALLOWANCE;
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     let alive: BTreeSet<String> = (0..(entries - 1) / BATCH_SIZE * BATCH_SIZE).map(id).collect();
     while others.iter().any(|n| listed(cluster.front(*n)).is_none_or(|list| list != alive)) {
-        assert!(died.elapsed() < bound, "dead backends are listed past {bound:?}");
+        assert!(killed_at.elapsed() < bound, "dead backends are still listed after {bound:?}");
         std::thread::sleep(Duration::from_millis(20));
     }
     let lost: usize = dead + machines.into_iter().map(Machines::end).sum::<usize>();
-    eprintln!("{entries} backends, {rounds} rounds of faults: dead ones removed after {:?}", died.elapsed());
-    assert_eq!(lost, 0, "backends were reported lost to their machines");
+    eprintln!(
+        "{entries} backends, {rounds} rounds of faults: dead ones removed after {:?}",
+        killed_at.elapsed()
+    );
+    assert_eq!(lost, 0, "backends were reported as lost");
     fleet.check_deadline();
 }
 
-/// Bytes of everything in a node's directory, and the bytes that its process has written to files.
-fn written(cluster: &mut Cluster, n: usize) -> (u64, u64) {
+/// The size in bytes of a node's data directory, and the bytes that its process has written to disk.
+fn bytes_on_disk_and_written(cluster: &mut Cluster, n: usize) -> (u64, u64) {
     let dir: PathBuf = cluster.data_dir(n);
-    let files = std::fs::read_dir(dir).expect("its directory").flatten();
+    let files = std::fs::read_dir(dir).expect("the data directory").flatten();
     let bytes = files.filter_map(|file| file.metadata().ok()).map(|meta| meta.len()).sum();
-    let pid = cluster.node(n).and_then(|node| node.id()).expect("it runs");
-    let io = std::fs::read_to_string(format!("/proc/{pid}/io")).expect("what it has written");
-    let count = io.lines().find_map(|line| line.strip_prefix("write_bytes: ")).expect("a count");
+    let pid = cluster.node(n).and_then(|node| node.id()).expect("the node runs");
+    let io = std::fs::read_to_string(format!("/proc/{pid}/io")).expect("the process's I/O counters");
+    let count = io.lines().find_map(|line| line.strip_prefix("write_bytes: ")).expect("a write_bytes line");
     (bytes, count.parse().expect("a number"))
 }
 
@@ -255,16 +263,16 @@
     let machines = register_and_renew(&cluster, 0..ENTRIES);
     cluster.agreed(1, AGREEMENT_TIMEOUT);
     std::thread::sleep(TTL);
-    let before: Vec<_> = (0..3).map(|n| written(&mut cluster, n)).collect();
+    let before: Vec<_> = (0..3).map(|n| bytes_on_disk_and_written(&mut cluster, n)).collect();
     std::thread::sleep(2 * TTL);
-    let after: Vec<_> = (0..3).map(|n| written(&mut cluster, n)).collect();
-    assert_eq!(before, after, "bytes on disk and written, of each node");
+    let after: Vec<_> = (0..3).map(|n| bytes_on_disk_and_written(&mut cluster, n)).collect();
+    assert_eq!(before, after, "each node's bytes on disk and written");
     assert_eq!(listed(cluster.front(0)).map(|list| list.len()), Some(ENTRIES));
     assert_eq!(machines.into_iter().map(Machines::end).sum::<usize>(), 0);
     fleet.check_deadline();
 }
 
-/// Each kind of renewal through every node: followers forward them to the leader.
+/// Sends each kind of renewal to every node: followers forward them to the leader.
 #[test]
 fn every_node_accepts_renewals_and_reports_losses() {
     let mut fleet = harness::fleet(Duration::from_secs(60));
@@ -272,7 +280,7 @@
     cluster.leader();
     register_all(&cluster, 0..1);
     let post = |n: usize, path: &str, body: Value| {
-        registry::call(cluster.front(n), "POST", path, &body).expect("it answers")
+        registry::call(cluster.front(n), "POST", path, &body).expect("the node answers")
     };
     let (_, grant) = post(0, "/v1/lease/acquire", json!({"name": "d", "holder": "h", "ttlMs": 20_000}));
     let token = grant["token"].as_u64().expect("a token");
@@ -287,15 +295,15 @@
         let (status, answer) = post(n, "/v1/session/renew", json!({"session": session, "list": n}));
         assert!(status == 200 && answer["agreed"].is_u64() && answer["list"].is_u64(), "{answer}");
         assert_eq!(post(n, "/v1/session/renew", json!({"session": session + 1})).0, 409);
-        let together = json!({"instances": [id(0), "nobody"], "grants": [{"name": "d", "token": token + 1}],
+        let combined = json!({"instances": [id(0), "nobody"], "grants": [{"name": "d", "token": token + 1}],
                               "sessions": [{"session": session}, {"session": session + 1}]});
-        let (status, answer) = post(n, "/v1/keepalive", together);
+        let (status, answer) = post(n, "/v1/keepalive", combined);
         assert_eq!((status, &answer["lost"]["instances"]), (200, &json!(["nobody"])), "{answer}");
         assert_eq!(answer["lost"]["grants"], json!([{"name": "d", "token": token + 1}]));
-        let lost = answer["lost"]["sessions"].as_object().expect("sessions that are lost");
+        let lost = answer["lost"]["sessions"].as_object().expect("lost sessions");
         assert!(lost.len() == 1 && lost.contains_key(&(session + 1).to_string()), "{answer}");
         let (_, fleet) = registry::call(cluster.front(n), "GET", "/v1/fleet", &Value::Null).expect("answers");
-        assert_eq!(fleet["sessions"][0]["said"]["list"], json!(n), "the latest renewal, at every node");
+        assert_eq!(fleet["sessions"][0]["said"]["list"], json!(n), "every node shows the latest renewal");
     }
     assert_eq!(post(0, "/v1/keepalive", json!({"instances": vec![id(0); 257]})).0, 400);
     assert_eq!(post(0, "/v1/keepalive", json!({"unknown": 1})).0, 400);
--- a/tests/fleet/node_connections.rs
+++ b/tests/fleet/node_connections.rs
@@ -1,5 +1,5 @@
-//! A list-service node at its limit of connections, with real sockets: new callers get in while all others watch, and
-//! an eviction that crosses a call costs nobody an answer.
+//! A list-service node at its connection limit, with real sockets: new callers are served while all other connections
+//! watch, and an eviction that coincides with a call loses no answer.
 
 use crate::harness::http::{Conn, Message};
 use crate::harness::program::{Service, current_program};
@@ -17,14 +17,14 @@
 use tokio::net::TcpStream;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 
-/// Descriptors that a node reserves beside its connections.
+/// The descriptors that a node reserves in addition to its connections.
 const RESERVED_DESCRIPTORS: usize = 96;
 /// The longest wait for one answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
-/// A TTL that does not run out during a test.
+/// A TTL that does not expire during a test.
 const LONG_TTL_MS: u64 = 300_000;
 
-/// A node with capacity for `max_connections`.
+/// Starts a node with capacity for `max_connections`.
 fn node(name: &str, max_connections: usize) -> Service {
     let file = format!("node-{name}-{}.toml", std::process::id());
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
@@ -61,22 +61,22 @@
         return CallEnd::Closed;
     }
     let answer = tokio::time::timeout(ANSWER_TIMEOUT, connection.read()).await;
-    match answer.expect("an answer or an end in time") {
+    match answer.expect("an answer or a close in time") {
         Ok(answer) => CallEnd::Answered(answer),
         Err(_) if connection.is_clean() => CallEnd::Closed,
         Err(_) => CallEnd::Truncated,
     }
 }
 
-/// Watches the list for `timeout` at a time; returns once each of `rounds` watches was answered, on a new connection
-/// after an answer that closes the last one.
+/// Watches the list once with each timeout of `rounds`; returns after the last answer. It opens a new connection after
+/// an answer that closes the current one.
 async fn watch(node: SocketAddr, rounds: &[Duration]) {
     let mut connection = connect(node).await;
     for timeout in rounds {
         let target = format!("/api/targets?since=1000000&timeout_ms={}", timeout.as_millis());
         let mut end = exchange(&mut connection, "GET", &target, &Value::Null).await;
         if matches!(end, CallEnd::Closed) {
-            // Evicted between two calls: the second one was not read.
+            // The connection was evicted between two calls; the second call was not read.
             connection = connect(node).await;
             end = exchange(&mut connection, "GET", &target, &Value::Null).await;
         }
@@ -87,15 +87,15 @@
     }
 }
 
-/// How many watches wait at the node.
-async fn watching(connection: &mut Conn) -> usize {
+/// The number of watches waiting at the node.
+async fn watch_count(connection: &mut Conn) -> usize {
     let end = exchange(connection, "GET", "/v1/status", &Value::Null).await;
     let CallEnd::Answered(answer) = end else { panic!("no status: {end:?}") };
     let status: Value = serde_json::from_slice(&answer.body).expect("a status");
     status["watching"].as_u64().expect("a number") as usize
 }
 
-/// Calls that wait behind watches, each on a new connection; returns what each was answered, in the order of arrival.
+/// Makes calls that wait behind watches, each on a new connection; returns the answers in the order of the calls.
 async fn call_in_order(
     node: SocketAddr,
     calls: usize,
@@ -108,7 +108,7 @@
         let method = if body(n).is_null() { "GET" } else { "POST" };
         callers.push(spawn_local(async move {
             match exchange(&mut connection, method, target, &body(n)).await {
-                // It keeps its connection, as a caller that will call again.
+                // The caller keeps its connection, like one that will call again.
                 CallEnd::Answered(answer) => (answer, connection),
                 end => panic!("call {n}: {end:?}"),
             }
@@ -124,12 +124,12 @@
     answers
 }
 
-/// Guards against a node that serves nobody new until a client closes, once all its connections watch.
+/// Guards against a node that serves no new caller until a client closes, once all its connections watch.
 #[test]
-fn callers_that_wait_get_in_in_order_as_watches_end() {
+fn waiting_callers_are_served_in_order_as_watches_end() {
     const WATCHERS: usize = 1_024;
     const CALLERS: usize = 64;
-    /// Watches that end one after another, each making room for one caller.
+    /// The number of watches that end one after another; each end makes room for one caller.
     const ENDING_WATCHES: usize = 100;
     const FIRST_END: Duration = Duration::from_secs(3);
     const END_INTERVAL: Duration = Duration::from_millis(10);
@@ -144,10 +144,10 @@
         (0..ENDING_WATCHES).for_each(|n| watch_twice(FIRST_END + END_INTERVAL * n as u32));
         (ENDING_WATCHES..WATCHERS).for_each(|_| watch_twice(LONG_WATCH));
         let mut last_connection = connect(at).await;
-        while watching(&mut last_connection).await < WATCHERS {
+        while watch_count(&mut last_connection).await < WATCHERS {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        // With one more watch every connection is busy.
+        // One more watch makes every connection busy.
         spawn_local(async move {
             exchange(
                 &mut last_connection,
@@ -168,8 +168,8 @@
             reply["revision"].as_u64().expect("a revision")
         };
         let revisions: Vec<u64> = registered.iter().map(revision).collect();
-        assert!(revisions.is_sorted(), "served in the order of arrival: {revisions:?}");
-        // Callers that watch themselves need a watch's end each.
+        assert!(revisions.is_sorted(), "not served in the order of arrival: {revisions:?}");
+        // Each caller that watches needs the end of another watch.
         let watched =
             call_in_order(at, CALLERS, "/api/targets?since=1000000&timeout_ms=1000", |_| Value::Null).await;
         assert_eq!(watched.len(), CALLERS);
@@ -181,9 +181,9 @@
     });
 }
 
-/// Guards against an eviction that closes a connection over a call that the node has taken.
+/// Guards against an eviction that closes a connection while the node handles a call that it has read from it.
 #[test]
-fn an_eviction_that_crosses_a_call_truncates_no_answer_and_loses_no_write_that_was_taken() {
+fn an_eviction_during_a_call_truncates_no_answer_and_loses_none_to_an_executed_write() {
     const CAPACITY: usize = 16;
     const CALLERS: u64 = 24;
     const DURATION: Duration = Duration::from_secs(4);
@@ -197,14 +197,14 @@
             spawn_local(async move {
                 let mut random = SmallRng::seed_from_u64(caller);
                 let mut connection = connect(at).await;
-                let (deadline, mut is_first) = (Instant::now() + DURATION, true);
+                let (deadline, mut is_first_on_connection) = (Instant::now() + DURATION, true);
                 for n in 0.. {
                     if Instant::now() > deadline {
                         break;
                     }
                     let id = format!("c{caller}-{}", n % 40);
-                    let unique = format!("u{caller}-{n}");
-                    let body = registration(if n % 4 == 0 { &unique } else { &id }, at, LONG_TTL_MS);
+                    let unique_id = format!("u{caller}-{n}");
+                    let body = registration(if n % 4 == 0 { &unique_id } else { &id }, at, LONG_TTL_MS);
                     let end = match n % 2 {
                         0 => exchange(&mut connection, "POST", "/v1/register", &body).await,
                         _ => exchange(&mut connection, "GET", "/api/targets", &Value::Null).await,
@@ -216,15 +216,15 @@
                             answer.closes()
                         }
                         CallEnd::Closed => {
-                            assert!(!is_first, "a first call was closed without an answer");
+                            assert!(!is_first_on_connection, "a first call was closed without an answer");
                             if n % 4 == 0 {
-                                unanswered.borrow_mut().insert(unique);
+                                unanswered.borrow_mut().insert(unique_id);
                             }
                             true
                         }
-                        CallEnd::Truncated => panic!("half an answer"),
+                        CallEnd::Truncated => panic!("a truncated answer"),
                     };
-                    is_first = closes;
+                    is_first_on_connection = closes;
                     if closes {
                         connection = connect(at).await;
                     }
@@ -234,7 +234,7 @@
         });
         let callers: Vec<_> = callers.collect();
         for caller in callers {
-            caller.await.expect("each call ends well");
+            caller.await.expect("a caller panicked");
         }
         let mut connection = connect(at).await;
         let list = exchange(&mut connection, "GET", "/api/targets", &Value::Null).await;
@@ -243,9 +243,13 @@
         let listed = list["instances"].as_array().expect("entries").iter();
         let listed: BTreeSet<_> = listed.filter_map(|entry| entry["instanceId"].as_str()).collect();
         let unanswered = unanswered.borrow();
-        let taken: Vec<_> = unanswered.iter().filter(|id| listed.contains(id.as_str())).collect();
-        eprintln!("{} calls answered, {} registrations closed over", answered.get(), unanswered.len());
-        assert!(taken.is_empty(), "taken, and closed without an answer: {taken:?}");
-        assert!(answered.get() > 1_000, "calls went on: {}", answered.get());
+        let executed: Vec<_> = unanswered.iter().filter(|id| listed.contains(id.as_str())).collect();
+        eprintln!(
+            "{} calls answered, {} registrations closed without an answer",
+            answered.get(),
+            unanswered.len()
+        );
+        assert!(executed.is_empty(), "executed but closed without an answer: {executed:?}");
+        assert!(answered.get() > 1_000, "too few calls answered: {}", answered.get());
     });
 }
--- a/tests/fleet/telling.rs
+++ b/tests/fleet/telling.rs
@@ -1,4 +1,4 @@
-//! The telemetry of a real process: nothing by default, else each request by its id, and metrics.
+//! The telemetry of a real proxy process: no log by default, a debug log that traces requests by id, and metrics.
 
 use crate::harness;
 use crate::harness::backend::Backend;
@@ -13,9 +13,9 @@
 use tokio::net::TcpStream;
 
 const FLEET_DEADLINE: Duration = Duration::from_secs(30);
-const ID: &str = "00000000000000a1";
+const REQUEST_ID: &str = "00000000000000a1";
 
-/// A proxy with one backend.
+/// Starts a proxy with one backend.
 fn start(fleet: &mut Fleet, backend: &Backend) -> (Process, Discovery) {
     let listing = Listing { id: "b-0".into(), address: backend.address(), ..Listing::default() };
     let discovery = Discovery::start(vec![listing], 1).expect("discovery");
@@ -25,13 +25,13 @@
     (proxy, discovery)
 }
 
-fn ask(address: SocketAddr, text: String) -> Message {
-    let asked = Loop::shared().wait(move || async move {
+fn send(address: SocketAddr, text: String) -> Message {
+    let answer = Loop::shared().wait(move || async move {
         let mut conn = Conn::new(TcpStream::connect(address).await.ok()?);
         conn.write(text.as_bytes()).await.ok()?;
         conn.read().await.ok()
     });
-    asked.flatten().expect("an answer")
+    answer.flatten().expect("an answer")
 }
 
 fn request(id: &str) -> String {
@@ -41,10 +41,10 @@
     )
 }
 
-/// Adds the log's JSON lines to `lines` until one of them satisfies `last`.
-fn read_until(lines: &mut Vec<Value>, proxy: &Process, last: impl Fn(&Value) -> bool) {
+/// Appends the log's JSON lines to `lines` until one of them satisfies `is_last`.
+fn read_until(lines: &mut Vec<Value>, proxy: &Process, is_last: impl Fn(&Value) -> bool) {
     let deadline = std::time::Instant::now() + Duration::from_secs(5);
-    while !lines.iter().any(&last) {
+    while !lines.iter().any(&is_last) {
         assert!(std::time::Instant::now() < deadline, "{lines:#?}");
         lines.extend(proxy.log_lines().iter().filter_map(|line| serde_json::from_str(line).ok()));
         std::thread::sleep(Duration::from_millis(5));
@@ -57,19 +57,19 @@
     fleet.set_environment(vec![("LINKHATCH_LOG".into(), "debug".into())]);
     let backend = Backend::start("b-0", Duration::ZERO).expect("a backend");
     let (proxy, _discovery) = start(&mut fleet, &backend);
-    assert_eq!(ask(proxy.address(), request(ID)).status(), 200);
-    let of_request = |line: &Value| line["id"] == ID;
-    let ended = |line: &Value| of_request(line) && line["message"] == "attempt ended";
+    assert_eq!(send(proxy.address(), request(REQUEST_ID)).status(), 200);
+    let is_of_request = |line: &Value| line["id"] == REQUEST_ID;
+    let is_ended = |line: &Value| is_of_request(line) && line["message"] == "attempt ended";
     let mut lines = Vec::new();
-    read_until(&mut lines, &proxy, ended);
+    read_until(&mut lines, &proxy, is_ended);
     let steps: Vec<&str> =
-        lines.iter().filter(|line| of_request(line)).filter_map(|line| line["message"].as_str()).collect();
+        lines.iter().filter(|line| is_of_request(line)).filter_map(|line| line["message"].as_str()).collect();
     assert_eq!(steps, ["request received", "attempt sent", "attempt ended"]);
-    let outcome = lines.iter().find(|line| ended(line)).map(|line| line["outcome"].clone());
+    let outcome = lines.iter().find(|line| is_ended(line)).map(|line| line["outcome"].clone());
     assert_eq!(outcome, Some(Value::from("Served")));
-    let closed = |line: &Value| line["message"] == "connection closed";
-    read_until(&mut lines, &proxy, closed);
-    assert!(lines.iter().filter(|line| closed(line)).all(|line| line["reason"].is_string()), "{lines:?}");
+    let is_closed = |line: &Value| line["message"] == "connection closed";
+    read_until(&mut lines, &proxy, is_closed);
+    assert!(lines.iter().filter(|line| is_closed(line)).all(|line| line["reason"].is_string()), "{lines:?}");
 }
 
 #[test]
@@ -77,7 +77,7 @@
     let mut fleet = harness::fleet(FLEET_DEADLINE);
     let backend = Backend::start("b-0", Duration::ZERO).expect("a backend");
     let (proxy, _discovery) = start(&mut fleet, &backend);
-    assert_eq!(ask(proxy.address(), request(ID)).status(), 200);
+    assert_eq!(send(proxy.address(), request(REQUEST_ID)).status(), 200);
     let logged: Vec<String> = proxy.log_lines().into_iter().filter(|line| line.starts_with('{')).collect();
     assert_eq!(logged, Vec::<String>::new());
 }
@@ -92,9 +92,9 @@
     let backend = Backend::start("b-0", Duration::ZERO).expect("a backend");
     let (proxy, _discovery) = start(&mut fleet, &backend);
     for id in 1..=5 {
-        assert_eq!(ask(proxy.address(), request(&format!("{id:016x}"))).status(), 200);
+        assert_eq!(send(proxy.address(), request(&format!("{id:016x}"))).status(), 200);
     }
-    let answer = ask(metrics, "GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n".into());
+    let answer = send(metrics, "GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n".into());
     assert_eq!(answer.status(), 200);
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     for line in [
@@ -105,5 +105,5 @@
     ] {
         assert!(text.contains(line), "{line} is not in\n{text}");
     }
-    assert_eq!(ask(metrics, "GET /other HTTP/1.1\r\nHost: m\r\n\r\n".into()).status(), 404);
+    assert_eq!(send(metrics, "GET /other HTTP/1.1\r\nHost: m\r\n\r\n".into()).status(), 404);
 }
--- a/tests/fleet/upgrade.rs
+++ b/tests/fleet/upgrade.rs
@@ -1,4 +1,4 @@
-//! A cluster of the list service replaced one node at a time by another build, and back, while writes go on.
+//! A list-service cluster whose nodes are replaced one at a time by another build, and back, while writes continue.
 //!
 //! ```sh
 //! LINKHATCH_PREVIOUS_PROGRAM=PATH cargo test --release --test fleet upgrade -- --ignored --nocapture
@@ -16,15 +16,15 @@
 const NODES: usize = 3;
 const TTL_MS: u64 = 300_000;
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Below it the list stays short of its bound of 6,000 entries for as long as the test goes on.
+/// Long enough to keep the list below its bound of 6,000 entries for the duration of the test.
 const PAUSE_BETWEEN_WRITES: Duration = Duration::from_millis(40);
-/// Changes while a node is down, of which the others then keep only a part: it is sent a snapshot.
+/// Changes made while a node is down: the others then keep only a part of them in their logs and send it a snapshot.
 const CHANGES_WHILE_DOWN: usize = 6_500;
 const CHANGE_WRITERS: usize = 16;
-/// The node that is down for that long.
+/// The node that is down during these changes.
 const NODE_SENT_A_SNAPSHOT: usize = 1;
 
-/// Three nodes behind one relay each, by which clients and the other nodes reach them whatever their port is.
+/// Three nodes, each behind a relay through which clients and the other nodes reach it, whatever its port.
 struct Cluster {
     dir: PathBuf,
     relays: Vec<Relay>,
@@ -59,7 +59,7 @@
         self.nodes[n] = Some(node);
     }
 
-    /// Kills a node, so that its connections end with it.
+    /// Kills a node, which ends its connections.
     fn kill_node(&mut self, n: usize) {
         self.nodes[n] = None;
     }
@@ -77,16 +77,16 @@
     fn wait_for(&self, revision: u64) {
         let deadline = Instant::now() + TIMEOUT;
         loop {
-            let at: Vec<_> = (0..NODES).map(|n| self.revision(n)).collect();
-            if at.iter().all(|at| *at >= Some(revision)) {
+            let revisions: Vec<_> = (0..NODES).map(|n| self.revision(n)).collect();
+            if revisions.iter().all(|at| *at >= Some(revision)) {
                 return;
             }
-            assert!(Instant::now() < deadline, "nodes at {at:?}, not all at {revision}");
+            assert!(Instant::now() < deadline, "nodes at revisions {revisions:?}, not all at {revision}");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// Has a write acknowledged by any node; its answer.
+    /// Sends a write to one node after another until one acknowledges it; returns the answer.
     fn write(&self, path: &str, body: &Value) -> Value {
         let deadline = Instant::now() + TIMEOUT;
         for front in self.fronts().iter().cycle() {
@@ -96,18 +96,18 @@
             }
             std::thread::sleep(Duration::from_millis(50));
         }
-        unreachable!("the fronts are gone round until the deadline")
+        unreachable!("the loop over the fronts ends only by a return or a panic")
     }
 
-    /// Asserts that every node but `down` has put a part of its log into a snapshot.
-    fn has_snapshots(&self, down: usize) {
+    /// Asserts that every node but `down` has a snapshot of a part of its log.
+    fn assert_has_snapshots(&self, down: usize) {
         for n in (0..NODES).filter(|n| *n != down) {
             let snapshot = self.dir.join(format!("node-{}", n + 1)).join("raft.snapshot");
             assert!(snapshot.exists(), "{}", snapshot.display());
         }
     }
 
-    /// Changes a weight over and over, as quickly as the nodes other than `down` take it.
+    /// Changes a weight `CHANGES_WHILE_DOWN` times, as quickly as the nodes other than `down` accept it.
     fn change_weights(&self, down: usize) {
         let writers: Vec<_> = (0..CHANGE_WRITERS)
             .map(|writer| {
@@ -116,13 +116,13 @@
                 std::thread::spawn(move || {
                     for n in (writer..CHANGES_WHILE_DOWN).step_by(CHANGE_WRITERS) {
                         let change = json!({"instanceId": "first", "weight": 1.0 + (n % 900) as f64});
-                        // One that is not acknowledged is not counted on.
+                        // The test does not rely on a change that is not acknowledged.
                         let _ = call(fronts[n % fronts.len()], "POST", "/v1/weight", &change);
                     }
                 })
             })
             .collect();
-        writers.into_iter().for_each(|writer| writer.join().expect("a writer ends"));
+        writers.into_iter().for_each(|writer| writer.join().expect("a writer panicked"));
     }
 }
 
@@ -151,7 +151,7 @@
             cluster.kill_node(n);
             if n == NODE_SENT_A_SNAPSHOT {
                 cluster.change_weights(n);
-                cluster.has_snapshots(n);
+                cluster.assert_has_snapshots(n);
             }
             cluster.start_node(n, program);
             let marker = format!("marker-{replaced}");
@@ -168,10 +168,10 @@
     let last = register(cluster.relays[0].address(), "last", 1).expect("acknowledged");
     cluster.wait_for(last);
     let lists: Vec<_> = cluster.fronts().into_iter().map(listed).collect();
-    assert!(lists.iter().all(|list| *list == lists[0]), "the nodes differ");
+    assert!(lists.iter().all(|list| *list == lists[0]), "the nodes' lists differ");
     let lost: Vec<_> = acknowledged.keys().filter(|id| !lists[0].1.contains(*id)).collect();
-    eprintln!("{replaced} replacements: {} acknowledged, {unacknowledged} not", acknowledged.len());
-    assert!(lost.is_empty(), "acknowledged and lost: {lost:?}");
+    eprintln!("{replaced} replacements: {} writes acknowledged, {unacknowledged} not", acknowledged.len());
+    assert!(lost.is_empty(), "acknowledged writes are lost: {lost:?}");
     assert!((0..replaced).all(|n| lists[0].1.contains(&format!("marker-{n}"))));
-    assert!(acknowledged.len() > 100, "writes went on: {}", acknowledged.len());
+    assert!(acknowledged.len() > 100, "too few writes: {}", acknowledged.len());
 }
