--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -328,7 +328,7 @@
     let report = scale::run(&experiment, &options).map_err(|e| e.to_string())?;
     print!("{}", report.text());
     println!("report and plot: {}", options.out.display());
-    Ok(match (report.whole, report.sizes.iter().all(|size| size.trusted)) {
+    Ok(match (report.complete, report.sizes.iter().all(|size| size.trusted)) {
         (true, true) => 0,
         (true, false) => 3,
         (false, _) => 1,
@@ -344,7 +344,7 @@
     stop: &AtomicBool,
 ) -> Ended {
     let experiment = read_scale(file, set)?;
-    let played = scale::play_size(&experiment, size, program, stop).map_err(|e| e.to_string())?;
+    let played = scale::run_size(&experiment, size, program, stop).map_err(|e| e.to_string())?;
     let json = serde_json::to_string_pretty(&played).map_err(|e| e.to_string())?;
     std::fs::write(result, json).map_err(|e| format!("{}: {e}", result.display()))?;
     // Hollow proxies and backends end with the process, without being taken down one by one.
--- a/testbed/src/scale/experiment.rs
+++ b/testbed/src/scale/experiment.rs
@@ -1,25 +1,25 @@
-//! Experiment files of `fleet-testbed scale` (TOML). Unknown keys are an error that names the line.
+//! Experiment files of `fleet-testbed scale` (TOML). Unknown keys are rejected with an error that names the line.
 
 use super::ScaleError;
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Most hollow proxies, and most hollow backends, of one size: what 20,000 descriptors allow.
-pub const MOST_SIZE: usize = 4_000;
-const MOST_SECONDS: f64 = 3_600.0;
+/// Maximum number of hollow proxies, and of hollow backends, of one size: what 20,000 descriptors allow.
+pub const MAX_SIZE: usize = 4_000;
+const MAX_PHASE_SECONDS: f64 = 3_600.0;
 
 /// A whole experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScaleExperiment {
-    /// Its name, as reports give it.
+    /// Its name, shown in reports.
     pub name: String,
-    /// What it is for.
+    /// Its purpose.
     #[serde(default)]
     pub about: String,
-    /// How many hollow proxies, and as many hollow backends, are played, one size after the other.
+    /// The sizes to run, one after the other: each is the number of hollow proxies and also of hollow backends.
     pub sizes: Vec<usize>,
-    /// Sizes that each figure is reckoned for from its line.
+    /// Sizes for which each figure is predicted from its line.
     #[serde(default)]
     pub predict: Vec<usize>,
     /// The list service.
@@ -28,10 +28,10 @@
     /// Hollow backends.
     #[serde(default)]
     pub backends: Backends,
-    /// Hollow proxies, and the real ones beside them.
+    /// Hollow proxies, and the real ones that run beside them.
     #[serde(default)]
     pub proxies: Proxies,
-    /// What is played.
+    /// The phases of a run.
     #[serde(default)]
     pub phases: Phases,
 }
@@ -40,11 +40,11 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct List {
-    /// Its nodes: 3 or 5.
+    /// Number of nodes: 3 or 5.
     pub nodes: usize,
-    /// How often the leader calls the others, in milliseconds.
+    /// Interval of the leader's heartbeats to the other nodes, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Between which times without a leader a node stands for election, in milliseconds.
+    /// Minimum and maximum time without a leader after which a node starts an election, in milliseconds.
     pub election_ms: [u64; 2],
 }
 
@@ -52,53 +52,54 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Backends {
-    /// How long an entry is listed without a heartbeat, in milliseconds.
+    /// TTL of an entry: how long it stays listed without a heartbeat, in milliseconds.
     pub ttl_ms: u64,
-    /// How often each sends one, in milliseconds.
+    /// Interval between a backend's heartbeats, in milliseconds.
     pub heartbeat_every_ms: u64,
-    /// How long an answer may take, in milliseconds.
+    /// Timeout of a call to the list service, in milliseconds.
     pub timeout_ms: u64,
-    /// Threads that they share.
+    /// Number of threads that they share.
     pub threads: usize,
-    /// How many register in a second at the start.
+    /// Registrations per second at the start.
     pub register_per_s: f64,
 }
 
-/// Hollow proxies, and the real ones beside them.
+/// Hollow proxies, and the real ones that run beside them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Proxies {
-    /// Whether they follow the settings and keep a session, beside watching the list.
+    /// Whether they follow the settings and keep a session, in addition to watching the list.
     pub sessions: bool,
     /// The session's TTL, in milliseconds.
     pub session_ttl_ms: u64,
-    /// Threads that they share.
+    /// Number of threads that they share.
     pub threads: usize,
-    /// How many start in a second.
+    /// Hollow proxies started per second.
     pub start_per_s: f64,
-    /// How many of them, and of the backends, are reached through a relay that counts bytes.
+    /// How many hollow proxies, and how many backends, connect through a relay that counts bytes.
     pub metered: usize,
-    /// Real proxies without traffic beside them.
+    /// Number of real proxies, which have no traffic.
     pub real: usize,
-    /// Above this much memory of the playing process no more are started, in MB.
+    /// No more hollow proxies are started once the testbed process uses more memory than this, in MB.
     pub memory_limit_mb: u64,
 }
 
-/// What is played, in this order.
+/// The phases of a run, in this order.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Phases {
-    /// Longest wait until all are registered, and again until all hold the list and a session.
+    /// Maximum wait until all backends are registered, and again until all proxies have the list and a session, in
+    /// seconds.
     pub settle_s: f64,
-    /// How long nothing changes.
+    /// Duration of the phase without changes, in seconds.
     pub rest_s: f64,
-    /// Changes of one backend's weight, one after the other.
+    /// Number of changes of a backend's weight, made one after the other.
     pub list_changes: usize,
-    /// Changes of the settings, one after the other.
+    /// Number of changes of the settings, made one after the other.
     pub settings_changes: usize,
-    /// The least time from one change to the next, in milliseconds.
+    /// Minimum time from one change to the next, in milliseconds.
     pub change_every_ms: u64,
-    /// Longest wait until a change has come to all.
+    /// Maximum wait until a change has reached all proxies, in seconds.
     pub deliver_within_s: f64,
 }
 
@@ -149,7 +150,7 @@
 }
 
 impl ScaleExperiment {
-    /// Reads and checks an experiment's file, with these keys overridden.
+    /// Reads and checks an experiment file, with these keys overridden.
     ///
     /// # Errors
     /// `Read`, `Toml` or `Value`.
@@ -158,52 +159,55 @@
         let mut table: toml::Table =
             toml::from_str(&text).map_err(|error| ScaleError::Toml(path.into(), error))?;
         for (key, value) in overrides {
-            put(&mut table, key, value.clone())?;
+            set_value(&mut table, key, value.clone())?;
         }
-        // Without overrides the text is read, so that an unknown key is told with its line.
-        let read =
+        // Without overrides the text is parsed directly, so that the error for an unknown key names its line.
+        let parsed =
             if overrides.is_empty() { toml::from_str(&text) } else { toml::Value::Table(table).try_into() };
-        let experiment: Self = read.map_err(|error| ScaleError::Toml(path.into(), error))?;
+        let experiment: Self = parsed.map_err(|error| ScaleError::Toml(path.into(), error))?;
         experiment.check()?;
         Ok(experiment)
     }
 
     fn check(&self) -> Result<(), ScaleError> {
-        let value = |ok: bool, why: &str| if ok { Ok(()) } else { Err(ScaleError::Value(why.into())) };
-        let span = |seconds: f64| seconds.is_finite() && (0.0..=MOST_SECONDS).contains(&seconds);
-        let rate = |per_second: f64| per_second.is_finite() && (1.0..=100_000.0).contains(&per_second);
+        let require =
+            |ok: bool, message: &str| if ok { Ok(()) } else { Err(ScaleError::Value(message.into())) };
+        let is_valid_duration =
+            |seconds: f64| seconds.is_finite() && (0.0..=MAX_PHASE_SECONDS).contains(&seconds);
+        let is_valid_rate =
+            |per_second: f64| per_second.is_finite() && (1.0..=100_000.0).contains(&per_second);
         let Self { sizes, list, backends, proxies, phases, .. } = self;
-        value(
-            !sizes.is_empty() && sizes.iter().all(|n| (1..=MOST_SIZE).contains(n)),
-            "sizes: 1 to 4,000 each",
+        require(
+            !sizes.is_empty() && sizes.iter().all(|n| (1..=MAX_SIZE).contains(n)),
+            "sizes: each from 1 to 4,000",
         )?;
-        value([3, 5].contains(&list.nodes), "list.nodes: 3 or 5")?;
-        value(backends.heartbeat_every_ms >= 10, "backends.heartbeat_every_ms: at least 10")?;
-        value((1..=16).contains(&backends.threads), "backends.threads: from 1 to 16")?;
-        value(rate(backends.register_per_s), "backends.register_per_s: from 1 to 100,000")?;
-        value((1..=16).contains(&proxies.threads), "proxies.threads: from 1 to 16")?;
-        value(rate(proxies.start_per_s), "proxies.start_per_s: from 1 to 100,000")?;
-        value(proxies.metered <= 100, "proxies.metered: up to 100")?;
-        value(proxies.real <= 20, "proxies.real: up to 20")?;
-        let spans = [phases.settle_s, phases.rest_s, phases.deliver_within_s];
-        value(spans.into_iter().all(span), "phases: up to 3,600 s each")
+        require([3, 5].contains(&list.nodes), "list.nodes: 3 or 5")?;
+        require(backends.heartbeat_every_ms >= 10, "backends.heartbeat_every_ms: at least 10")?;
+        require((1..=16).contains(&backends.threads), "backends.threads: from 1 to 16")?;
+        require(is_valid_rate(backends.register_per_s), "backends.register_per_s: from 1 to 100,000")?;
+        require((1..=16).contains(&proxies.threads), "proxies.threads: from 1 to 16")?;
+        require(is_valid_rate(proxies.start_per_s), "proxies.start_per_s: from 1 to 100,000")?;
+        require(proxies.metered <= 100, "proxies.metered: up to 100")?;
+        require(proxies.real <= 20, "proxies.real: up to 20")?;
+        let durations = [phases.settle_s, phases.rest_s, phases.deliver_within_s];
+        require(durations.into_iter().all(is_valid_duration), "phases: each up to 3,600 s")
     }
 }
 
-/// Puts a value at a key such as `phases.rest_s`.
-fn put(table: &mut toml::Table, key: &str, value: toml::Value) -> Result<(), ScaleError> {
+/// Sets the value of a key such as `phases.rest_s`.
+fn set_value(table: &mut toml::Table, key: &str, value: toml::Value) -> Result<(), ScaleError> {
     let (path, last) = key.rsplit_once('.').map_or((None, key), |(path, last)| (Some(path), last));
     let mut table = table;
     for name in path.into_iter().flat_map(|path| path.split('.')) {
         let inner = table.entry(name).or_insert_with(|| toml::Value::Table(toml::Table::new()));
         table =
-            inner.as_table_mut().ok_or_else(|| ScaleError::Value(format!("{key}: {name} is no table")))?;
+            inner.as_table_mut().ok_or_else(|| ScaleError::Value(format!("{key}: {name} is not a table")))?;
     }
     table.insert(last.into(), value);
     Ok(())
 }
 
-/// Milliseconds as a duration.
+/// Converts milliseconds to a duration.
 pub fn millis(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
--- a/testbed/src/scale/figures.rs
+++ b/testbed/src/scale/figures.rs
@@ -1,11 +1,11 @@
-//! The figures that are fitted, by name.
+//! The named figures that are fitted over the sizes.
 
-use super::result::{Changes, NodeUse, Phase, SizeResult};
+use super::result::{Changes, NodeUsage, Phase, SizeResult};
 
 /// One figure of one size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Figure {
-    /// Its name, the phase first, as `rest.node.busiest.cores`.
+    /// Its name, beginning with the phase, such as `rest.node.busiest.cores`.
     pub name: String,
     /// Its unit.
     pub unit: &'static str,
@@ -18,7 +18,7 @@
 }
 
 /// All figures of one size.
-pub fn of(result: &SizeResult) -> Vec<Figure> {
+pub fn of_size(result: &SizeResult) -> Vec<Figure> {
     let mut all = vec![
         figure("start.registered", "s", result.registered_s),
         figure("start.ready", "s", result.ready_s),
@@ -27,20 +27,20 @@
         figure("proxy.hollow.memory", "MB", result.hollow_proxy_mb),
     ];
     all.extend(result.real_proxy_mb.map(|memory| figure("proxy.real.peak_memory", "MB", memory)));
-    all.extend(of_phase("rest", &result.rest));
-    all.extend(of_changes("list_changes", &result.list_changes));
+    all.extend(phase_figures("rest", &result.rest));
+    all.extend(change_figures("list_changes", &result.list_changes));
     if let Some(changes) = &result.settings_changes {
-        all.extend(of_changes("settings_changes", changes));
+        all.extend(change_figures("settings_changes", changes));
     }
     all
 }
 
-fn of_phase(name: &str, phase: &Phase) -> Vec<Figure> {
-    let named = |what: &str, unit, value| figure(format!("{name}.{what}"), unit, value);
-    let beats = &phase.heartbeats;
-    let over_nodes = |of: fn(&NodeUse) -> f64| phase.nodes.iter().map(of);
-    let busiest = |of| over_nodes(of).fold(0.0, f64::max);
-    let mean = |of| over_nodes(of).sum::<f64>() / phase.nodes.len().max(1) as f64;
+fn phase_figures(name: &str, phase: &Phase) -> Vec<Figure> {
+    let named = |suffix: &str, unit, value| figure(format!("{name}.{suffix}"), unit, value);
+    let heartbeats = &phase.heartbeats;
+    let over_nodes = |field: fn(&NodeUsage) -> f64| phase.nodes.iter().map(field);
+    let busiest = |field| over_nodes(field).fold(0.0, f64::max);
+    let mean = |field| over_nodes(field).sum::<f64>() / phase.nodes.len().max(1) as f64;
     let mut all = vec![
         named("node.busiest.cores", "cores", busiest(|node| node.cores)),
         named("node.mean.cores", "cores", mean(|node| node.cores)),
@@ -53,18 +53,22 @@
         named("proxy.requests", "1/s", phase.proxy_traffic.requests_per_s),
         named("backend.bytes", "B/s", phase.backend_traffic.bytes_per_s),
         named("backend.requests", "1/s", phase.backend_traffic.requests_per_s),
-        named("heartbeats.answered", "1/s", beats.answered as f64 / phase.seconds.max(f64::MIN_POSITIVE)),
-        named("heartbeats.failed", "", beats.failed() as f64),
-        named("heartbeats.over_1_s", "", beats.over_1_s as f64),
-        named("heartbeats.p50", "ms", beats.p50_ms),
-        named("heartbeats.p99", "ms", beats.p99_ms),
+        named(
+            "heartbeats.answered",
+            "1/s",
+            heartbeats.answered as f64 / phase.seconds.max(f64::MIN_POSITIVE),
+        ),
+        named("heartbeats.failed", "", heartbeats.failed() as f64),
+        named("heartbeats.over_1_s", "", heartbeats.over_1_s as f64),
+        named("heartbeats.p50", "ms", heartbeats.p50_ms),
+        named("heartbeats.p99", "ms", heartbeats.p99_ms),
     ];
     all.extend(phase.real_proxy_cores.map(|cores| named("proxy.real.cores", "cores", cores)));
     all
 }
 
-fn of_changes(name: &str, changes: &Changes) -> Vec<Figure> {
-    let named = |what: &str, unit, value| figure(format!("{name}.{what}"), unit, value);
+fn change_figures(name: &str, changes: &Changes) -> Vec<Figure> {
+    let named = |suffix: &str, unit, value| figure(format!("{name}.{suffix}"), unit, value);
     let mut all = vec![
         named("p50", "ms", changes.p50_ms),
         named("p99", "ms", changes.p99_ms),
@@ -73,6 +77,6 @@
         named("missed", "", changes.missed as f64),
         named("unacknowledged", "", changes.unacknowledged as f64),
     ];
-    all.extend(of_phase(name, &changes.phase));
+    all.extend(phase_figures(name, &changes.phase));
     all
 }
--- a/testbed/src/scale/ledger.rs
+++ b/testbed/src/scale/ledger.rs
@@ -1,69 +1,69 @@
-//! What each hollow proxy has come to hold, and when: the list's revision and the settings' version.
+//! Log of when each hollow proxy applied a list revision or a settings version.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// One proxy came to hold something.
+/// One proxy applied a revision.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Reached {
+struct Arrival {
     proxy: usize,
-    number: u64,
+    revision: u64,
     at: Instant,
 }
 
-/// One number that grows at every proxy.
-pub struct Ledger {
+/// Log of one kind of revision, which only grows at each proxy.
+pub struct DeliveryLog {
     latest: Vec<AtomicU64>,
-    reached: Mutex<Vec<Reached>>,
+    arrivals: Mutex<Vec<Arrival>>,
 }
 
-/// How a change came to the proxies.
+/// Delivery of one change to the proxies.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Delivery {
-    /// The time that it took to each proxy that it reached.
+    /// The delay to each proxy that the change reached.
     pub delays: Vec<Duration>,
-    /// Proxies that it did not reach in time.
+    /// Number of proxies that the change did not reach in time.
     pub missed: usize,
 }
 
-impl Ledger {
-    /// A ledger of so many proxies, none of which holds anything.
+impl DeliveryLog {
+    /// An empty log for this many proxies.
     pub fn new(proxies: usize) -> Self {
         let latest = (0..proxies).map(|_| AtomicU64::new(0)).collect();
-        Self { latest, reached: Mutex::default() }
+        Self { latest, arrivals: Mutex::default() }
     }
 
-    /// A proxy holds `number` from now on; one that it held before is passed over.
-    pub fn tell(&self, proxy: usize, number: u64) {
-        let before = self.latest[proxy].fetch_max(number, Ordering::Relaxed);
-        if before < number {
-            self.lock().push(Reached { proxy, number, at: Instant::now() });
+    /// Records that a proxy has just applied `revision`; ignored unless it is the proxy's highest one so far.
+    pub fn record(&self, proxy: usize, revision: u64) {
+        let previous = self.latest[proxy].fetch_max(revision, Ordering::Relaxed);
+        if previous < revision {
+            self.lock().push(Arrival { proxy, revision, at: Instant::now() });
         }
     }
 
-    /// Proxies that hold at least `number`.
-    pub fn count(&self, number: u64) -> usize {
-        self.latest.iter().filter(|latest| latest.load(Ordering::Relaxed) >= number).count()
+    /// Number of proxies that have applied `revision` or a later one.
+    pub fn count_reached(&self, revision: u64) -> usize {
+        self.latest.iter().filter(|latest| latest.load(Ordering::Relaxed) >= revision).count()
     }
 
-    /// Forgets when earlier numbers were reached.
-    pub fn forget(&self) {
+    /// Clears the recorded arrivals, but not each proxy's latest revision.
+    pub fn clear_arrivals(&self) {
         self.lock().clear();
     }
 
-    /// How `number`, or a later one, came to the proxies since `sent`.
-    pub fn delivery(&self, number: u64, sent: Instant) -> Delivery {
-        let mut first: Vec<Option<Instant>> = vec![None; self.latest.len()];
-        for reached in self.lock().iter().filter(|reached| reached.number >= number) {
-            first[reached.proxy].get_or_insert(reached.at);
+    /// The delivery of `revision`, or of a later one, to the proxies since `sent`.
+    pub fn delivery(&self, revision: u64, sent: Instant) -> Delivery {
+        let mut first_arrivals: Vec<Option<Instant>> = vec![None; self.latest.len()];
+        for arrival in self.lock().iter().filter(|arrival| arrival.revision >= revision) {
+            first_arrivals[arrival.proxy].get_or_insert(arrival.at);
         }
         let delays: Vec<Duration> =
-            first.iter().flatten().map(|at| at.saturating_duration_since(sent)).collect();
-        Delivery { missed: first.len() - delays.len(), delays }
+            first_arrivals.iter().flatten().map(|at| at.saturating_duration_since(sent)).collect();
+        Delivery { missed: first_arrivals.len() - delays.len(), delays }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Reached>> {
-        self.reached.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Vec<Arrival>> {
+        self.arrivals.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
--- a/testbed/src/scale/meter.rs
+++ b/testbed/src/scale/meter.rs
@@ -1,20 +1,21 @@
-//! Relays before the list service's nodes that count what passes: a few hollow proxies and backends go through them.
+//! Relays in front of the list service's nodes that count traffic; a few hollow proxies and backends connect through
+//! them.
 
 use crate::links::Relay;
 use std::net::SocketAddr;
 use std::ops::Sub;
 use std::sync::atomic::Ordering;
 
-/// What has passed.
+/// Total traffic that a relay has passed on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
-    /// Bytes of both ways.
+pub struct TrafficTotals {
+    /// Bytes in both directions.
     pub bytes: u64,
-    /// Pieces read towards the nodes: small requests come in one each.
+    /// Reads of data sent to the nodes: a small request arrives in one read.
     pub requests: u64,
 }
 
-impl Sub for Passed {
+impl Sub for TrafficTotals {
     type Output = Self;
 
     fn sub(self, earlier: Self) -> Self {
@@ -25,46 +26,46 @@
     }
 }
 
-/// What one relay has passed so far.
-pub fn passed_by(relay: &Relay) -> Passed {
+/// Total traffic of one relay so far.
+pub fn relay_totals(relay: &Relay) -> TrafficTotals {
     let counts = relay.counts();
     let bytes = &[&counts.bytes_to_target, &counts.bytes_from_target];
-    Passed {
+    TrafficTotals {
         bytes: bytes.iter().map(|count| count.load(Ordering::Relaxed)).sum(),
         requests: counts.pieces_to_target.load(Ordering::Relaxed),
     }
 }
 
-/// One relay before each node.
+/// One relay in front of each node.
 pub struct Meter {
     relays: Vec<Relay>,
 }
 
 impl Meter {
-    /// Starts relays before these nodes.
+    /// Starts a relay in front of each of these nodes.
     ///
     /// # Errors
-    /// Where no port can be had.
+    /// If no port is available.
     pub fn start(nodes: &[SocketAddr]) -> std::io::Result<Self> {
         let relays = nodes.iter().map(|node| Relay::start(*node)).collect::<Result<_, _>>()?;
         Ok(Self { relays })
     }
 
-    /// Where the nodes are reached through it.
+    /// The relays' addresses.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.relays.iter().map(Relay::address).collect()
     }
 
-    /// What has passed all relays so far.
-    pub fn passed(&self) -> Passed {
-        sum(self.relays.iter().map(passed_by))
+    /// Total traffic of all relays so far.
+    pub fn totals(&self) -> TrafficTotals {
+        sum(self.relays.iter().map(relay_totals))
     }
 }
 
-/// The sum of several.
-pub fn sum(all: impl Iterator<Item = Passed>) -> Passed {
-    all.fold(Passed::default(), |sum, passed| Passed {
-        bytes: sum.bytes + passed.bytes,
-        requests: sum.requests + passed.requests,
+/// The sum of several totals.
+pub fn sum(all: impl Iterator<Item = TrafficTotals>) -> TrafficTotals {
+    all.fold(TrafficTotals::default(), |sum, totals| TrafficTotals {
+        bytes: sum.bytes + totals.bytes,
+        requests: sum.requests + totals.requests,
     })
 }
--- a/testbed/src/scale/play.rs
+++ b/testbed/src/scale/play.rs
@@ -1,12 +1,12 @@
-//! One size of an experiment, from the start of its processes to their end.
+//! Runs one size of an experiment, from the start of its processes to their end.
 
 use super::backends::{self, Backends};
 use super::experiment::{ScaleExperiment, millis};
-use super::ledger::{Delivery, Ledger};
+use super::ledger::{Delivery, DeliveryLog};
 use super::meter::Meter;
-use super::proxies::{Proxies, attached_by};
+use super::proxies::{Proxies, attached_revision};
 use super::result::{Changes, DiskProbe, Phase, SizeResult};
-use super::sample::{Running, Sampled};
+use super::sample::{RunningPhase, SampleSources};
 use super::{ScaleError, sizes};
 use crate::calls::call;
 use crate::cluster::{Cluster, Timing};
@@ -22,44 +22,43 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// How often is looked who leads, and how many are ready.
-const LOOK: Duration = Duration::from_millis(500);
-const POLL: Duration = Duration::from_millis(5);
-/// How often the memory is looked at while proxies start: once for so many.
-const MEMORY_CHECK_EVERY: usize = 20;
+/// Interval between observations of the cluster, and between attempts to publish the first settings.
+const OBSERVE_INTERVAL: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// While hollow proxies start, memory is checked once per this many proxies.
+const PROXIES_PER_MEMORY_CHECK: usize = 20;
 const LEADER_TIMEOUT: Duration = Duration::from_secs(20);
-/// What the processes may live beyond the planned time.
-const SLACK: Duration = Duration::from_secs(600);
-/// How often a write that was not acknowledged is tried again.
-const WRITE_TRIES: usize = 3;
-/// How long the first settings are published again and again until they are acknowledged.
+/// How long the processes may run beyond the planned time.
+const LIFETIME_MARGIN: Duration = Duration::from_secs(600);
+/// Maximum number of attempts of a write that is not acknowledged.
+const MAX_WRITE_ATTEMPTS: usize = 3;
+/// How long publishing the first settings is retried until they are acknowledged.
 const FIRST_SETTINGS_TIMEOUT: Duration = Duration::from_secs(20);
-/// Writes of the disk's probe, and their size.
+/// Number and size of the writes that probe the disk.
 const PROBE_WRITES: usize = 200;
 const PROBE_BYTES: usize = 4 << 10;
 
-/// What plays one size.
-struct Stage<'a> {
+/// The run of one size.
+struct SizeRun<'a> {
     experiment: &'a ScaleExperiment,
     size: usize,
     stop: &'a AtomicBool,
     cluster: Cluster,
-    /// The nodes' own addresses, without relays.
+    /// The nodes' own addresses, not those of the relays.
     nodes: Vec<SocketAddr>,
     node_pids: Vec<u32>,
     backends: Backends,
     proxies: Proxies,
     proxy_meter: Meter,
     backend_meter: Meter,
-    real: Vec<Process>,
+    real_proxies: Vec<Process>,
 }
 
-/// Plays one size. The environment names the proxies' configuration (`RELAY_CONFIG`), and addresses that nobody
-/// uses.
+/// Runs one size. The environment names the proxies' configuration (`RELAY_CONFIG`) and sets unused addresses.
 ///
 /// # Errors
-/// As [`ScaleError`] says; nothing is left running.
-pub fn play_size(
+/// See [`ScaleError`]; no process is left running.
+pub fn run_size(
     experiment: &ScaleExperiment,
     size: usize,
     program: &Path,
@@ -69,43 +68,43 @@
     let scratch = Scratch::new("fleet-testbed-scale")?;
     let mut fleet = Fleet::new(program, scratch.path(), deadline(experiment, size));
     let disk = probe_disk(scratch.path())?;
-    let mut stage = Stage::start(experiment, size, &mut fleet, stop)?;
+    let mut run = SizeRun::start(experiment, size, &mut fleet, stop)?;
     let mut result = SizeResult { size, disk, ..SizeResult::default() };
-    stage.register(&mut result);
-    stage.start_proxies(&mut fleet, &mut result)?;
-    stage.publish_first_settings(&mut result)?;
-    result.rest = stage.rest()?;
-    result.list_changes = stage.list_changes()?;
+    run.register(&mut result);
+    run.start_proxies(&mut fleet, &mut result)?;
+    run.publish_first_settings(&mut result)?;
+    result.rest = run.rest()?;
+    result.list_changes = run.list_changes()?;
     if experiment.proxies.sessions {
-        result.settings_changes = Some(stage.settings_changes()?);
+        result.settings_changes = Some(run.settings_changes()?);
     }
-    stage.note_end(&mut result);
+    run.record_final_state(&mut result);
     Ok(result)
 }
 
 fn deadline(experiment: &ScaleExperiment, size: usize) -> Duration {
     let phases = &experiment.phases;
-    let ramps =
+    let startup_s =
         size as f64 / experiment.backends.register_per_s + size as f64 / experiment.proxies.start_per_s;
     let changes = (phases.list_changes + phases.settings_changes) as f64
         * (phases.deliver_within_s + phases.change_every_ms as f64 / 1e3);
-    Duration::from_secs_f64(ramps + 2.0 * phases.settle_s + phases.rest_s + changes) + SLACK
+    Duration::from_secs_f64(startup_s + 2.0 * phases.settle_s + phases.rest_s + changes) + LIFETIME_MARGIN
 }
 
-/// Writes small blocks to the disk that the nodes will use, each waited for.
+/// Measures writes of small blocks, each synced to the disk that the nodes will use.
 fn probe_disk(directory: &Path) -> std::io::Result<DiskProbe> {
     let mut file = std::fs::File::create(directory.join("probe"))?;
     let mut writes = Vec::new();
     for _ in 0..PROBE_WRITES {
-        let began = Instant::now();
+        let started_at = Instant::now();
         file.write_all(&[0; PROBE_BYTES])?;
         file.sync_data()?;
-        writes.push(began.elapsed());
+        writes.push(started_at.elapsed());
     }
     Ok(DiskProbe::new(writes))
 }
 
-/// Every process started inherits it: nodes and this one hold a descriptor for each connection.
+/// Raises the limit for this process and, by inheritance, for the nodes: both need a descriptor per connection.
 fn raise_descriptor_limit() -> Result<(), ScaleError> {
     let (soft, hard) = getrlimit(Resource::RLIMIT_NOFILE).map_err(std::io::Error::from)?;
     if soft < hard {
@@ -114,19 +113,19 @@
     Ok(())
 }
 
-/// Waits until `holds`, for so long at most; whether it came to hold.
-fn wait_until(within: Duration, poll: Duration, mut holds: impl FnMut() -> bool) -> bool {
-    let deadline = Instant::now() + within;
-    while !holds() {
+/// Waits at most `timeout` until `condition` is true, and returns whether it became true.
+fn wait_until(timeout: Duration, poll_interval: Duration, mut condition: impl FnMut() -> bool) -> bool {
+    let deadline = Instant::now() + timeout;
+    while !condition() {
         if Instant::now() >= deadline {
             return false;
         }
-        std::thread::sleep(poll);
+        std::thread::sleep(poll_interval);
     }
     true
 }
 
-impl<'a> Stage<'a> {
+impl<'a> SizeRun<'a> {
     /// Starts the list service and the backends, which begin to register.
     fn start(
         experiment: &'a ScaleExperiment,
@@ -148,7 +147,7 @@
         let backends = Backends::start(size, settings, &nodes, &backend_meter.addresses(), metered)?;
         let proxies = Proxies::new(size, &experiment.proxies, &nodes, &proxy_meter.addresses())?;
         let node_pids = node_pids.into_iter().flatten().collect();
-        let real = Vec::new();
+        let real_proxies = Vec::new();
         Ok(Self {
             experiment,
             size,
@@ -160,15 +159,15 @@
             proxies,
             proxy_meter,
             backend_meter,
-            real,
+            real_proxies,
         })
     }
 
-    fn sampled(&self) -> Sampled<'_> {
-        Sampled {
+    fn sample_sources(&self) -> SampleSources<'_> {
+        SampleSources {
             cluster: &self.cluster,
-            nodes: &self.node_pids,
-            real: &self.real,
+            node_pids: &self.node_pids,
+            real_proxies: &self.real_proxies,
             backends: &self.backends,
             proxy_meter: &self.proxy_meter,
             backend_meter: &self.backend_meter,
@@ -177,7 +176,7 @@
         }
     }
 
-    fn settle(&self) -> Duration {
+    fn settle_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.experiment.phases.settle_s)
     }
 
@@ -185,51 +184,52 @@
         self.stop.load(Ordering::SeqCst)
     }
 
-    /// Waits until all backends are registered.
+    /// Waits until all backends are registered, and records how long that took.
     fn register(&self, result: &mut SizeResult) {
-        let began = Instant::now();
-        let ramp = Duration::from_secs_f64(self.size as f64 / self.experiment.backends.register_per_s);
-        let all = || self.stopped() || self.backends.registered() >= self.size;
-        if !wait_until(ramp + self.settle(), POLL, all) {
+        let started_at = Instant::now();
+        let registration_duration =
+            Duration::from_secs_f64(self.size as f64 / self.experiment.backends.register_per_s);
+        let done = || self.stopped() || self.backends.registered() >= self.size;
+        if !wait_until(registration_duration + self.settle_timeout(), POLL_INTERVAL, done) {
             result.mark_partial(&format!("{} backends registered", self.backends.registered()));
         }
-        result.registered_s = began.elapsed().as_secs_f64();
+        result.registered_s = started_at.elapsed().as_secs_f64();
     }
 
-    /// Starts the proxies, hollow and real, and waits until all hold the list and a session.
+    /// Starts the hollow proxies, waits until all have the list and a session, and starts the real proxies.
     fn start_proxies(&mut self, fleet: &mut Fleet, result: &mut SizeResult) -> Result<(), ScaleError> {
         let resident_before = usage::of_self()?.resident_kb;
-        let passed_before = self.proxy_meter.passed();
-        let list = self.list()?;
-        let began = Instant::now();
-        result.proxies = self.ramp(began, result)?;
+        let traffic_before = self.proxy_meter.totals();
+        let list = self.fetch_list()?;
+        let started_at = Instant::now();
+        result.proxies = self.start_hollow(started_at, result)?;
         let ready = || self.stopped() || self.ready(list.revision) >= result.proxies;
-        if !wait_until(self.settle(), POLL, ready) {
+        if !wait_until(self.settle_timeout(), POLL_INTERVAL, ready) {
             let ready = self.ready(list.revision);
             result.mark_partial(&format!(
-                "{ready} of {} proxies held the list and a session in time",
+                "{ready} of {} proxies had the list and a session in time",
                 result.proxies
             ));
         }
-        result.ready_s = began.elapsed().as_secs_f64();
+        result.ready_s = started_at.elapsed().as_secs_f64();
         result.list_bytes = list.bytes;
         let grown_kb = usage::of_self()?.resident_kb.saturating_sub(resident_before);
         result.hollow_proxy_mb = grown_kb as f64 / 1e3 / result.proxies.max(1) as f64;
         let metered = self.experiment.proxies.metered.min(self.size).max(1);
-        let passed = self.proxy_meter.passed() - passed_before;
-        result.start_bytes_per_proxy = passed.bytes as f64 / metered as f64;
+        let traffic = self.proxy_meter.totals() - traffic_before;
+        result.start_bytes_per_proxy = traffic.bytes as f64 / metered as f64;
         self.start_real(fleet)
     }
 
-    /// Starts hollow proxies one after the other, as long as there is memory; how many.
-    fn ramp(&self, began: Instant, result: &mut SizeResult) -> Result<usize, ScaleError> {
+    /// Starts hollow proxies one after the other until all are started or memory runs out; returns their number.
+    fn start_hollow(&self, started_at: Instant, result: &mut SizeResult) -> Result<usize, ScaleError> {
         let settings = &self.experiment.proxies;
         for number in 0..self.size {
-            let due = began + Duration::from_secs_f64(number as f64 / settings.start_per_s);
+            let due = started_at + Duration::from_secs_f64(number as f64 / settings.start_per_s);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
-            let checks_memory = number % MEMORY_CHECK_EVERY == 0;
+            let checks_memory = number % PROXIES_PER_MEMORY_CHECK == 0;
             if checks_memory && usage::of_self()?.resident_kb > settings.memory_limit_mb * 1_000 {
-                result.mark_partial(&format!("memory for {number} proxies only"));
+                result.mark_partial(&format!("memory limit reached after {number} proxies"));
                 return Ok(number);
             }
             if self.stopped() {
@@ -241,11 +241,11 @@
         Ok(self.size)
     }
 
-    /// Proxies that hold the list of `revision` or a later one and, if they are to, a session.
+    /// Number of proxies that have the list of `revision` or later and, if the experiment has sessions, a session.
     fn ready(&self, revision: u64) -> usize {
-        let listed = self.proxies.told.lists.count(revision);
+        let listed = self.proxies.observed.lists.count_reached(revision);
         match self.experiment.proxies.sessions {
-            true => listed.min(self.proxies.told.settings.count(attached_by(0))),
+            true => listed.min(self.proxies.observed.settings.count_reached(attached_revision(0))),
             false => listed,
         }
     }
@@ -254,122 +254,128 @@
         let config = sizes::proxy_config(&self.experiment.proxies)?;
         for _ in 0..self.experiment.proxies.real {
             let proxy = fleet.proxy_of(&config, &self.nodes);
-            self.real.push(proxy.map_err(|error| ScaleError::Start("proxy", error))?);
+            self.real_proxies.push(proxy.map_err(|error| ScaleError::Start("proxy", error))?);
         }
         Ok(())
     }
 
-    /// The list as a proxy first gets it.
-    fn list(&self) -> Result<WholeList, ScaleError> {
+    /// Fetches the list as a proxy first receives it.
+    fn fetch_list(&self) -> Result<FetchedList, ScaleError> {
         let (_, list) = call(self.nodes[0], "GET", "/api/targets", &Value::Null)
             .filter(|(status, _)| *status == 200)
-            .ok_or_else(|| ScaleError::Late("node 1 does not tell the list".into()))?;
+            .ok_or_else(|| ScaleError::Timeout("node 1 did not return the list".into()))?;
         let revision = list["generation"].as_u64().unwrap_or(0);
-        Ok(WholeList { revision, bytes: list.to_string().len() })
+        Ok(FetchedList { revision, bytes: list.to_string().len() })
     }
 
-    /// Publishes the proxies' own settings as the first version, if they follow any, and waits until all go by it.
+    /// If the proxies follow the settings, publishes their own as the first version and waits until it is in force.
     fn publish_first_settings(&self, result: &mut SizeResult) -> Result<(), ScaleError> {
-        let told = &self.proxies.told;
+        let state = &self.proxies.observed;
         if self.experiment.proxies.sessions && !self.stopped() {
             let sent = Instant::now();
             let document = Proxies::own_document()?;
             let mut version = None;
-            wait_until(FIRST_SETTINGS_TIMEOUT, LOOK, || {
+            wait_until(FIRST_SETTINGS_TIMEOUT, OBSERVE_INTERVAL, || {
                 version = self.publish(&document);
                 version.is_some() || self.stopped()
             });
             match version {
-                Some(version) => drop(self.delivered(&told.settings, attached_by(version), sent)),
+                Some(version) => drop(self.await_delivery(&state.settings, attached_revision(version), sent)),
                 None => result.mark_partial("the first settings were not acknowledged"),
             }
         }
-        told.polls.store(false, Ordering::Relaxed);
+        state.polling_enabled.store(false, Ordering::Relaxed);
         Ok(())
     }
 
-    /// Nothing changes.
+    /// Runs the phase without changes.
     fn rest(&self) -> Result<Phase, ScaleError> {
-        let sampled = self.sampled();
-        let mut running = sampled.begin("rest")?;
-        let until = Instant::now() + Duration::from_secs_f64(self.experiment.phases.rest_s);
-        while Instant::now() < until && !self.stopped() {
-            std::thread::sleep(LOOK.min(until.saturating_duration_since(Instant::now())));
-            running.look(&self.cluster);
+        let sources = self.sample_sources();
+        let mut running = sources.begin("rest")?;
+        let deadline = Instant::now() + Duration::from_secs_f64(self.experiment.phases.rest_s);
+        while Instant::now() < deadline && !self.stopped() {
+            std::thread::sleep(OBSERVE_INTERVAL.min(deadline.saturating_duration_since(Instant::now())));
+            running.observe(&self.cluster);
         }
-        Ok(sampled.end(running)?)
+        Ok(sources.end(running)?)
     }
 
-    /// One backend's weight changes after the other's.
+    /// Changes the weight of one backend after the other.
     fn list_changes(&self) -> Result<Changes, ScaleError> {
         let change = |number: usize| {
             let weight = 1.0 + (number + 1) as f64 / 100.0;
-            let body = json!({"instanceId": backends::id(number % self.size), "weight": weight});
+            let body = json!({"instanceId": backends::instance_id(number % self.size), "weight": weight});
             self.write(number, "/v1/weight", &body)?["revision"].as_u64()
         };
-        self.changes("list changes", self.experiment.phases.list_changes, &self.proxies.told.lists, change)
+        self.apply_changes(
+            "list changes",
+            self.experiment.phases.list_changes,
+            &self.proxies.observed.lists,
+            change,
+        )
     }
 
-    /// One version of the settings after the other.
+    /// Publishes one version of the settings after the other.
     fn settings_changes(&self) -> Result<Changes, ScaleError> {
         let document = Proxies::own_document()?;
-        self.proxies.told.polls.store(true, Ordering::Relaxed);
+        self.proxies.observed.polling_enabled.store(true, Ordering::Relaxed);
         let change = |number: usize| {
             let over_quota_weight = 0.5 + (number + 1) as f64 / 1_000.0;
             let changed = Document { over_quota_weight, ..document.clone() };
-            self.publish(&changed).map(attached_by)
+            self.publish(&changed).map(attached_revision)
         };
-        let asked = self.experiment.phases.settings_changes;
-        let changes = self.changes("settings changes", asked, &self.proxies.told.settings, change);
-        self.proxies.told.polls.store(false, Ordering::Relaxed);
+        let requested = self.experiment.phases.settings_changes;
+        let changes =
+            self.apply_changes("settings changes", requested, &self.proxies.observed.settings, change);
+        self.proxies.observed.polling_enabled.store(false, Ordering::Relaxed);
         changes
     }
 
-    /// Makes changes one after the other, each once the one before has come to all; `change` returns the number that
-    /// the proxies are to hold.
-    fn changes(
+    /// Makes changes one after the other, each after the wait for the previous one's delivery; `change` returns the
+    /// revision that the proxies have to reach.
+    fn apply_changes(
         &self,
         name: &'static str,
-        asked: usize,
-        ledger: &Ledger,
+        requested: usize,
+        log: &DeliveryLog,
         change: impl Fn(usize) -> Option<u64>,
     ) -> Result<Changes, ScaleError> {
-        let sampled = self.sampled();
-        let mut running: Running = sampled.begin(name)?;
+        let sources = self.sample_sources();
+        let mut running: RunningPhase = sources.begin(name)?;
         let mut deliveries = Vec::new();
-        for number in 0..asked {
+        for number in 0..requested {
             if self.stopped() {
                 break;
             }
-            ledger.forget();
+            log.clear_arrivals();
             let sent = Instant::now();
-            if let Some(awaited) = change(number) {
-                deliveries.push(self.delivered(ledger, awaited, sent));
+            if let Some(revision) = change(number) {
+                deliveries.push(self.await_delivery(log, revision, sent));
             }
-            running.look(&self.cluster);
+            running.observe(&self.cluster);
             let next = sent + millis(self.experiment.phases.change_every_ms);
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
         }
-        Ok(Changes::new(asked, &deliveries, sampled.end(running)?))
+        Ok(Changes::new(requested, &deliveries, sources.end(running)?))
     }
 
-    /// Waits until all proxies hold `awaited`, and tells how it came to them.
-    fn delivered(&self, ledger: &Ledger, awaited: u64, sent: Instant) -> Delivery {
-        let within = Duration::from_secs_f64(self.experiment.phases.deliver_within_s);
-        wait_until(within, POLL, || self.stopped() || ledger.count(awaited) >= self.size);
-        ledger.delivery(awaited, sent)
+    /// Waits until all proxies have reached `revision` or the time is up, and returns its delivery.
+    fn await_delivery(&self, log: &DeliveryLog, revision: u64, sent: Instant) -> Delivery {
+        let timeout = Duration::from_secs_f64(self.experiment.phases.deliver_within_s);
+        wait_until(timeout, POLL_INTERVAL, || self.stopped() || log.count_reached(revision) >= self.size);
+        log.delivery(revision, sent)
     }
 
-    /// A write by an operator, at one node after the other until one acknowledges it.
-    fn write(&self, first: usize, path: &str, body: &Value) -> Option<Value> {
-        let nodes = self.nodes.iter().cycle().skip(first % self.nodes.len()).take(WRITE_TRIES);
+    /// Sends an operator's write to one node after the other, beginning with `first_node`, until one acknowledges it.
+    fn write(&self, first_node: usize, path: &str, body: &Value) -> Option<Value> {
+        let nodes = self.nodes.iter().cycle().skip(first_node % self.nodes.len()).take(MAX_WRITE_ATTEMPTS);
         nodes
             .filter_map(|node| call(*node, "POST", path, body))
             .find(|(status, _)| *status == 200)
-            .map(|(_, b)| b)
+            .map(|(_, reply)| reply)
     }
 
-    /// Publishes a document behind the latest version; its version.
+    /// Publishes a document as the successor of the latest version and returns its version, if acknowledged.
     fn publish(&self, document: &Document) -> Option<u64> {
         let (_, settings) = call(self.nodes[0], "GET", "/v1/settings", &Value::Null)?;
         let parent = settings["head"]["version"].as_u64().unwrap_or(0);
@@ -377,11 +383,12 @@
         self.write(0, "/v1/settings", &body)?["version"].as_u64()
     }
 
-    fn note_end(&self, result: &mut SizeResult) {
-        let told = &self.proxies.told;
-        result.listed = told.lists.count(1);
-        result.attached = told.settings.count(attached_by(0));
-        let peaks = self.real.iter().filter_map(Process::id).filter_map(|pid| usage::of_process(pid).ok());
+    fn record_final_state(&self, result: &mut SizeResult) {
+        let observed = &self.proxies.observed;
+        result.listed = observed.lists.count_reached(1);
+        result.attached = observed.settings.count_reached(attached_revision(0));
+        let peaks =
+            self.real_proxies.iter().filter_map(Process::id).filter_map(|pid| usage::of_process(pid).ok());
         result.real_proxy_mb = peaks.map(|usage| usage.peak_kb as f64 / 1e3).reduce(f64::max);
         if self.stopped() {
             result.mark_partial("interrupted");
@@ -389,8 +396,8 @@
     }
 }
 
-/// The whole list as one node tells it.
-struct WholeList {
+/// Revision and size of the whole list, as returned by one node.
+struct FetchedList {
     revision: u64,
     bytes: usize,
 }
--- a/testbed/src/scale/plot.rs
+++ b/testbed/src/scale/plot.rs
@@ -1,17 +1,17 @@
-//! The plot: the figures that matter most over the size, each with its line.
+//! Plots the most important figures over the size, each with its fitted line.
 
-use super::report::{Fitted, ScaleReport};
+use super::report::{FittedFigure, ScaleReport};
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::path::Path;
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-const SIZE: (u32, u32) = (1200, 900);
-/// Rows and columns of the panels.
+const SIZE_PX: (u32, u32) = (1200, 900);
+/// Number of rows and columns of panels.
 const PANELS: (usize, usize) = (3, 3);
-/// The figures drawn, by name.
-const DRAWN: [&str; 9] = [
+/// Names of the plotted figures.
+const PLOTTED_FIGURES: [&str; 9] = [
     "rest.node.busiest.cores",
     "rest.node.busiest.peak_memory",
     "rest.node.busiest.disk",
@@ -23,14 +23,14 @@
     "settings_changes.p99",
 ];
 
-/// Draws the plot into a file.
+/// Draws the plot to a file.
 ///
 /// # Errors
-/// What the drawing or the file says.
-pub fn draw(path: &Path, report: &ScaleReport) -> Drawn {
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+/// Errors of the drawing library or of the file.
+pub fn draw(path: &Path, report: &ScaleReport) -> DrawResult {
+    let area = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
-    for (panel, name) in area.split_evenly(PANELS).iter().zip(DRAWN) {
+    for (panel, name) in area.split_evenly(PANELS).iter().zip(PLOTTED_FIGURES) {
         if let Some(figure) = report.figures.iter().find(|figure| figure.name == name) {
             draw_figure(panel, figure)?;
         }
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-fn draw_figure(panel: &DrawingArea<SVGBackend<'_>, Shift>, figure: &Fitted) -> Drawn {
+fn draw_figure(panel: &DrawingArea<SVGBackend<'_>, Shift>, figure: &FittedFigure) -> DrawResult {
     let sizes = figure.points.iter().map(|point| point.size);
     let values = figure.points.iter().map(|point| point.value);
     let right = 1.1 * sizes.fold(1.0, f64::max);
@@ -52,8 +52,8 @@
         .build_cartesian_2d(0.0..right, 0.0..top)?;
     chart.configure_mesh().x_labels(6).y_labels(6).draw()?;
     if let Some(line) = &figure.fit {
-        let [least, greatest] = line.played;
-        let ends = [least, greatest].map(|size| (size, line.predict(size).value));
+        let [min, max] = line.size_range;
+        let ends = [min, max].map(|size| (size, line.predict(size).value));
         chart.draw_series(LineSeries::new(ends, BLUE.mix(0.6)))?;
     }
     chart.draw_series(
--- a/testbed/src/scale/proxies.rs
+++ b/testbed/src/scale/proxies.rs
@@ -1,9 +1,9 @@
-//! Hollow proxies: the program's engine, discovery, settings follower and session as a real proxy has them, without a
-//! listener and so without traffic.
+//! Hollow proxies: they run the engine, discovery, settings follower and session of a real proxy, but have no listener
+//! and so no traffic.
 
 use super::ScaleError;
 use super::experiment;
-use super::ledger::Ledger;
+use super::ledger::DeliveryLog;
 use crate::rt::Loop;
 use linkhatch_proxy::agreement::document::Document;
 use linkhatch_proxy::agreement::follower::Follower;
@@ -20,33 +20,33 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// The names of their threads begin with this.
-pub const THREADS: &str = "hollow-p";
-/// How often the versions in force are looked at, while that is asked for.
-const POLL: Duration = Duration::from_millis(5);
-/// The bounds on connections, as a real proxy of the sample's descriptors has them.
+/// Prefix of the names of their threads.
+pub const THREAD_NAME_PREFIX: &str = "hollow-p";
+/// Interval at which the settings versions in force are polled, while polling is enabled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Connection limits of a real proxy with the descriptor limit of the sample configuration.
 const CLIENT_CONNECTIONS: usize = 500;
 const BACKEND_CONNECTIONS: usize = 400;
 
-/// What hollow proxies tell the lab.
-pub struct Told {
-    /// The list's revision in force at each.
-    pub lists: Ledger,
-    /// The settings' version in force at each, plus one; 0 while it is detached.
-    pub settings: Ledger,
-    /// Whether `settings` is kept up to date: it takes some processor time.
-    pub polls: AtomicBool,
+/// State of the hollow proxies, as observed by the testbed.
+pub struct ObservedState {
+    /// The list revision in force at each proxy.
+    pub lists: DeliveryLog,
+    /// The settings version in force at each proxy, plus one; 0 for a proxy that has not been attached yet.
+    pub settings: DeliveryLog,
+    /// Whether `settings` is kept up to date, which uses some processor time.
+    pub polling_enabled: AtomicBool,
 }
 
-/// What `settings` holds of an attached proxy that goes by `version`.
-pub fn attached_by(version: u64) -> u64 {
+/// The number that [`ObservedState::settings`] records for an attached proxy with settings `version` in force.
+pub fn attached_revision(version: u64) -> u64 {
     version + 1
 }
 
 /// All hollow proxies. They end with the process.
 pub struct Proxies {
-    /// What they tell.
-    pub told: Arc<Told>,
+    /// Their observed state.
+    pub observed: Arc<ObservedState>,
     threads: Vec<Loop>,
     nodes: Vec<SocketAddr>,
     meter: Vec<SocketAddr>,
@@ -54,20 +54,20 @@
     count: usize,
 }
 
-/// A follower, and the proxy's number.
-type Followed = (usize, Rc<Follower>);
+/// The proxy's number and its follower.
+type NumberedFollower = (usize, Rc<Follower>);
 
 thread_local! {
     /// The followers of this thread's proxies.
-    static FOLLOWERS: RefCell<Vec<Followed>> = const { RefCell::new(Vec::new()) };
+    static FOLLOWERS: RefCell<Vec<NumberedFollower>> = const { RefCell::new(Vec::new()) };
 }
 
 impl Proxies {
-    /// Makes the threads for `count` of them, none of which is started yet; the first ones reach the nodes through
-    /// `meter`.
+    /// Starts the threads for `count` hollow proxies, but none of the proxies; the first ones will reach the nodes
+    /// through `meter`.
     ///
     /// # Errors
-    /// Where a thread can't be made.
+    /// If a thread can't be started.
     pub fn new(
         count: usize,
         settings: &experiment::Proxies,
@@ -75,22 +75,22 @@
         meter: &[SocketAddr],
     ) -> std::io::Result<Self> {
         let threads = (0..settings.threads)
-            .map(|n| Loop::start(&format!("{THREADS}{n}")))
+            .map(|n| Loop::start(&format!("{THREAD_NAME_PREFIX}{n}")))
             .collect::<Result<Vec<_>, _>>()?;
-        let told = Arc::new(Told {
-            lists: Ledger::new(count),
-            settings: Ledger::new(count),
-            polls: AtomicBool::new(true),
+        let observed = Arc::new(ObservedState {
+            lists: DeliveryLog::new(count),
+            settings: DeliveryLog::new(count),
+            polling_enabled: AtomicBool::new(true),
         });
         for thread in &threads {
-            let told = told.clone();
-            thread.spawn(move || poll(told));
+            let observed = observed.clone();
+            thread.spawn(move || poll_settings(observed));
         }
         let metered = settings.metered;
-        Ok(Self { told, threads, nodes: nodes.to_vec(), meter: meter.to_vec(), metered, count })
+        Ok(Self { observed, threads, nodes: nodes.to_vec(), meter: meter.to_vec(), metered, count })
     }
 
-    /// Starts proxy `number`, with the configuration that the environment names.
+    /// Starts proxy `number` with the configuration file named by the environment.
     ///
     /// # Errors
     /// `Config`.
@@ -100,25 +100,25 @@
         config.settings.proxy_count = self.count;
         config.seed ^= (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         config.discovery = if number < self.metered { self.meter.clone() } else { self.nodes.clone() };
-        let told = self.told.clone();
-        self.threads[number % self.threads.len()].spawn(move || live(number, config, told));
+        let observed = self.observed.clone();
+        self.threads[number % self.threads.len()].spawn(move || run_proxy(number, config, observed));
         Ok(())
     }
 
-    /// The settings of the proxies' own configuration, as a document to publish.
+    /// The settings in the proxies' own configuration, as a document that can be published.
     ///
     /// # Errors
-    /// `Config`; `Value` where it has no `agreement`.
+    /// `Config`; `Value` if it has no `agreement`.
     pub fn own_document() -> Result<Document, ScaleError> {
         let agreement = Config::from_env()?.agreement;
-        let agreement =
-            agreement.ok_or_else(|| ScaleError::Value("the proxies follow no settings".into()))?;
+        let agreement = agreement
+            .ok_or_else(|| ScaleError::Value("the proxies' configuration has no `agreement`".into()))?;
         Ok(agreement.document)
     }
 }
 
-/// Runs one hollow proxy: the parts that the program's `main` puts together, without its listener.
-async fn live(number: usize, config: Config, told: Arc<Told>) {
+/// Runs one hollow proxy: the components that the program's `main` assembles, except for the listener.
+async fn run_proxy(number: usize, config: Config, observed: Arc<ObservedState>) {
     let Config { settings, proxy_settings, seed, discovery: nodes, known, agreement, .. } = config;
     let engine = Engine::start(settings.clone(), &proxy_settings, seed, BACKEND_CONNECTIONS);
     let discovery = Discovery::start(nodes.clone(), known, None, &proxy_settings, &settings, engine.clone());
@@ -137,27 +137,27 @@
         FOLLOWERS.with_borrow_mut(|followers| followers.push((number, follower.clone())));
     }
     discovery.on_list(move |revision| {
-        // The follower was told by this very call before; the lab listens in.
+        // This replaces the callback that `fleet_settings::start` registered, so it has to notify the follower too.
         if let Some(follower) = &follower {
             follower.list_applied(revision);
         }
-        told.lists.tell(number, revision);
+        observed.lists.record(number, revision);
     });
-    // Discovery and engine live as long as the process.
+    // Discovery and engine run until the process ends.
     std::future::pending::<()>().await;
 }
 
-/// Looks at what is in force at this thread's proxies, again and again.
-async fn poll(told: Arc<Told>) {
+/// Polls the settings versions in force at this thread's proxies.
+async fn poll_settings(observed: Arc<ObservedState>) {
     loop {
-        tokio::time::sleep(POLL).await;
-        if !told.polls.load(Ordering::Relaxed) {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        if !observed.polling_enabled.load(Ordering::Relaxed) {
             continue;
         }
         FOLLOWERS.with_borrow(|followers| {
             for (number, follower) in followers {
                 if let Attachment::Attached { version, .. } = follower.attachment() {
-                    told.settings.tell(*number, attached_by(version));
+                    observed.settings.record(*number, attached_revision(version));
                 }
             }
         });
--- a/testbed/src/scale/report.rs
+++ b/testbed/src/scale/report.rs
@@ -7,32 +7,32 @@
 use serde::Serialize;
 use std::fmt::Write;
 
-/// Above this at p99, in milliseconds, the lab's own lateness makes a size's figures not to be trusted.
-pub const MOST_LATENESS_MS: f64 = 50.0;
-/// Above this one thread of the lab was too busy to be on time, in cores.
-pub const MOST_LAB_CORES: f64 = 0.9;
+/// A size's figures are not trusted if the testbed's own lateness exceeds this at p99, in milliseconds.
+pub const MAX_LATENESS_MS: f64 = 50.0;
+/// A testbed thread that uses more than this, in cores, is too busy to be on time.
+pub const MAX_CORES_PER_THREAD: f64 = 0.9;
 
 /// One figure over all sizes.
 #[derive(Clone, Debug, Serialize)]
-pub struct Fitted {
+pub struct FittedFigure {
     /// Its name.
     pub name: String,
     /// Its unit.
     pub unit: &'static str,
-    /// Its value at each size that was played whole.
+    /// Its value at each size that was run completely.
     pub points: Vec<Point>,
-    /// Its line; none for fewer than two sizes.
+    /// Its line; none for fewer than two different sizes.
     pub fit: Option<Fit>,
-    /// What the line says of the sizes asked for.
+    /// The values that the line predicts for the requested sizes.
     pub predictions: Vec<Prediction>,
 }
 
-/// A size, and whether the lab's own figures allow to trust it.
+/// The result of a size, and whether it can be trusted.
 #[derive(Clone, Debug, Serialize)]
-pub struct Played {
-    /// Whether the lab was on time.
+pub struct SizeReport {
+    /// Whether the testbed was on time and not too busy.
     pub trusted: bool,
-    /// What came of it.
+    /// The result.
     pub result: SizeResult,
 }
 
@@ -41,46 +41,50 @@
 pub struct ScaleReport {
     /// The experiment's name.
     pub name: String,
-    /// Whether every size was played whole.
-    pub whole: bool,
+    /// Whether every size was run completely.
+    #[serde(rename = "whole")]
+    pub complete: bool,
     /// The sizes.
-    pub sizes: Vec<Played>,
-    /// The figures over them.
-    pub figures: Vec<Fitted>,
+    pub sizes: Vec<SizeReport>,
+    /// The figures over the sizes.
+    pub figures: Vec<FittedFigure>,
 }
 
 impl ScaleReport {
-    /// The report of these sizes.
+    /// Builds the report of these results.
     pub fn new(experiment: &ScaleExperiment, results: Vec<SizeResult>) -> Self {
-        let whole = |result: &&SizeResult| result.partial.is_none();
-        let counted: Vec<&SizeResult> = results.iter().filter(whole).collect();
+        let is_complete = |result: &&SizeResult| result.partial.is_none();
+        let complete_results: Vec<&SizeResult> = results.iter().filter(is_complete).collect();
         Self {
             name: experiment.name.clone(),
-            whole: counted.len() == experiment.sizes.len(),
-            figures: fitted(&counted, &experiment.predict),
+            complete: complete_results.len() == experiment.sizes.len(),
+            figures: fit_figures(&complete_results, &experiment.predict),
             sizes: results
                 .into_iter()
-                .map(|result| Played { trusted: is_trusted(&result, experiment), result })
+                .map(|result| SizeReport { trusted: is_trusted(&result, experiment), result })
                 .collect(),
         }
     }
 
     /// The report as JSON.
     pub fn json(&self) -> String {
-        // Plain numbers and texts: there is nothing that JSON could not hold.
+        // Cannot fail: the report consists of plain numbers and strings.
         serde_json::to_string_pretty(self).unwrap_or_default()
     }
 
-    /// The report for people.
+    /// The report as text.
     pub fn text(&self) -> String {
-        let mut text =
-            format!("{}{}\n", self.name, if self.whole { "" } else { " (not every size was played whole)" });
+        let mut text = format!(
+            "{}{}\n",
+            self.name,
+            if self.complete { "" } else { " (incomplete: not every size was run completely)" }
+        );
         for size in &self.sizes {
             write_size(&mut text, size);
         }
         let _ = writeln!(
             text,
-            "\nfigures over the size n: value = fixed + slope n, residual, R2; (x): extrapolated"
+            "\nfigures over the size n: value = fixed + slope * n, residual, R2; (x): extrapolated"
         );
         for figure in &self.figures {
             write_fitted(&mut text, figure);
@@ -89,27 +93,27 @@
     }
 }
 
-/// Whether the lab was on time at a size.
+/// Whether the testbed was on time and not too busy at a size.
 fn is_trusted(result: &SizeResult, experiment: &ScaleExperiment) -> bool {
     let threads = [experiment.proxies.threads, experiment.backends.threads, 1];
     let settings = result.settings_changes.as_ref().map(|changes| &changes.phase);
     let phases = [Some(&result.rest), Some(&result.list_changes.phase), settings];
     phases.into_iter().flatten().all(|phase| {
         let busiest =
-            phase.lab_cores.iter().zip(threads).map(|(cores, n)| cores / n as f64).fold(0.0, f64::max);
-        busiest <= MOST_LAB_CORES && phase.heartbeats.lateness_p99_ms <= MOST_LATENESS_MS
+            phase.testbed_cores.iter().zip(threads).map(|(cores, n)| cores / n as f64).fold(0.0, f64::max);
+        busiest <= MAX_CORES_PER_THREAD && phase.heartbeats.lateness_p99_ms <= MAX_LATENESS_MS
     })
 }
 
-/// Each figure that every size has, over the sizes.
-fn fitted(results: &[&SizeResult], predict: &[usize]) -> Vec<Fitted> {
+/// Fits each figure over the sizes.
+fn fit_figures(results: &[&SizeResult], predict: &[usize]) -> Vec<FittedFigure> {
     let all: Vec<(f64, Vec<Figure>)> =
-        results.iter().map(|result| (result.size as f64, figures::of(result))).collect();
+        results.iter().map(|result| (result.size as f64, figures::of_size(result))).collect();
     let Some((_, first)) = all.first() else { return Vec::new() };
-    first.iter().map(|figure| fitted_one(figure, &all, predict)).collect()
+    first.iter().map(|figure| fit_figure(figure, &all, predict)).collect()
 }
 
-fn fitted_one(figure: &Figure, all: &[(f64, Vec<Figure>)], predict: &[usize]) -> Fitted {
+fn fit_figure(figure: &Figure, all: &[(f64, Vec<Figure>)], predict: &[usize]) -> FittedFigure {
     let point = |(size, figures): &(f64, Vec<Figure>)| {
         let value = figures.iter().find(|other| other.name == figure.name)?.value;
         Some(Point { size: *size, value })
@@ -118,17 +122,17 @@
     let line = fit(&points);
     let predictions = line.iter().flat_map(|line| predict.iter().map(|size| line.predict(*size as f64)));
     let predictions = predictions.collect();
-    Fitted { name: figure.name.clone(), unit: figure.unit, points, fit: line, predictions }
+    FittedFigure { name: figure.name.clone(), unit: figure.unit, points, fit: line, predictions }
 }
 
-fn write_size(text: &mut String, size: &Played) {
+fn write_size(text: &mut String, size: &SizeReport) {
     let result = &size.result;
     let partial = result.partial.as_ref().map_or(String::new(), |why| format!(" (partial: {why})"));
-    let trusted = if size.trusted { "" } else { " (the lab was late or too busy: not to be trusted)" };
+    let trusted = if size.trusted { "" } else { " (untrusted: the testbed was late or too busy)" };
     let _ = writeln!(
         text,
-        "\n{} hollow proxies and backends{partial}{trusted}\n  start: registered in {:.1} s, ready in {:.1} s; {} of {} \
-         proxies hold the list ({} bytes), {} attached; {:.0} bytes a proxy",
+        "\n{} hollow proxies and backends{partial}{trusted}\n  start: registered in {:.1} s, ready in {:.1} s; \
+         {} of {} proxies have the list ({} bytes), {} attached; {:.0} bytes per proxy",
         result.size,
         result.registered_s,
         result.ready_s,
@@ -141,8 +145,8 @@
     let real = result.real_proxy_mb.map_or("-".into(), |memory| format!("{memory:.1}"));
     let _ = writeln!(
         text,
-        "  memory: {:.2} MB a hollow proxy, a real one at rest {real} MB; a disk write of 4 KiB before: p50 {:.1}, p99 \
-         {:.1} ms",
+        "  memory: {:.2} MB per hollow proxy, {real} MB per real proxy at rest; disk write of 4 KiB before the run: \
+         p50 {:.1}, p99 {:.1} ms",
         result.hollow_proxy_mb, result.disk.p50_ms, result.disk.p99_ms
     );
     write_phase(text, &result.rest);
@@ -155,9 +159,9 @@
 fn write_changes(text: &mut String, name: &str, changes: &Changes) {
     let _ = writeln!(
         text,
-        "  {} changes of the {name}: to all proxies p50 {:.1}, p99 {:.1}, max {:.1} ms, on average {:.1} ms to the last; \
+        "  {} changes of the {name}: delivery p50 {:.1}, p99 {:.1}, max {:.1} ms, mean to the last proxy {:.1} ms; \
          missed {}, not acknowledged {}",
-        changes.asked,
+        changes.requested,
         changes.p50_ms,
         changes.p99_ms,
         changes.max_ms,
@@ -169,32 +173,32 @@
 }
 
 fn write_phase(text: &mut String, phase: &Phase) {
-    let beats = &phase.heartbeats;
+    let heartbeats = &phase.heartbeats;
     let _ = writeln!(
         text,
-        "  {} ({:.1} s): heartbeats {:.0}/s answered, failed {} (404 {}, 503 {}, none {}), over 1 s {}, skipped {}; p50 \
-         {:.1}, p99 {:.1}, max {:.0} ms; leader changes {}, fewest entries {}",
+        "  {} ({:.1} s): heartbeats {:.0}/s answered, failed {} (404 {}, 503 {}, no answer {}), over 1 s {}, \
+         skipped {}; p50 {:.1}, p99 {:.1}, max {:.0} ms; leader changes {}, min entries {}",
         phase.name,
         phase.seconds,
-        beats.answered as f64 / phase.seconds.max(f64::MIN_POSITIVE),
-        beats.failed(),
-        beats.off_the_list,
-        beats.refused,
-        beats.unanswered,
-        beats.over_1_s,
-        beats.skipped,
-        beats.p50_ms,
-        beats.p99_ms,
-        beats.max_ms,
+        heartbeats.answered as f64 / phase.seconds.max(f64::MIN_POSITIVE),
+        heartbeats.failed(),
+        heartbeats.not_listed,
+        heartbeats.rejected,
+        heartbeats.unanswered,
+        heartbeats.over_1_s,
+        heartbeats.skipped,
+        heartbeats.p50_ms,
+        heartbeats.p99_ms,
+        heartbeats.max_ms,
         phase.leader_changes,
-        phase.fewest_entries.map_or("-".into(), |entries| entries.to_string())
+        phase.min_entries.map_or("-".into(), |entries| entries.to_string())
     );
     for (number, node) in phase.nodes.iter().enumerate() {
         let _ = writeln!(
             text,
             "    node {}{}: {:.3} cores, peak {:.1} MB, disk {:.0} B/s",
             number + 1,
-            if node.leads { " (leads)" } else { "" },
+            if node.is_leader { " (leader)" } else { "" },
             node.cores,
             node.memory_mb,
             node.disk_bytes_per_s
@@ -202,31 +206,32 @@
     }
     let _ = writeln!(
         text,
-        "    a hollow proxy {:.5} cores, {:.0} B/s, {:.2} requests/s; a real one {} cores; a backend {:.0} B/s; between \
-         nodes {:.0} B/s; the lab late p99 {:.2}, max {:.0} ms, cores {:.2} proxies, {:.2} backends, {:.2} relays; the whole machine {:.1}",
+        "    per hollow proxy {:.5} cores, {:.0} B/s, {:.2} requests/s; per real proxy {} cores; per backend {:.0} \
+         B/s; between nodes {:.0} B/s; testbed: lateness p99 {:.2}, max {:.0} ms, cores {:.2} proxies, {:.2} backends, \
+         {:.2} relays; whole machine {:.1} cores",
         phase.hollow_proxy_cores,
         phase.proxy_traffic.bytes_per_s,
         phase.proxy_traffic.requests_per_s,
         phase.real_proxy_cores.map_or("-".into(), |cores| format!("{cores:.4}")),
         phase.backend_traffic.bytes_per_s,
         phase.between_nodes.bytes_per_s,
-        beats.lateness_p99_ms,
-        beats.lateness_max_ms,
-        phase.lab_cores[0],
-        phase.lab_cores[1],
-        phase.lab_cores[2],
+        heartbeats.lateness_p99_ms,
+        heartbeats.lateness_max_ms,
+        phase.testbed_cores[0],
+        phase.testbed_cores[1],
+        phase.testbed_cores[2],
         phase.machine_cores
     );
 }
 
-fn write_fitted(text: &mut String, figure: &Fitted) {
+fn write_fitted(text: &mut String, figure: &FittedFigure) {
     let Some(line) = &figure.fit else {
-        let _ = writeln!(text, "  {:<46} no line: fewer than two sizes", figure.name);
+        let _ = writeln!(text, "  {:<46} no line: fewer than two different sizes", figure.name);
         return;
     };
-    let optional = |value: Option<f64>| value.map_or("-".into(), |value| format!("{value:.3e}"));
+    let format_optional = |value: Option<f64>| value.map_or("-".into(), |value| format!("{value:.3e}"));
     let r_squared = line.r_squared.map_or("-".into(), |part| format!("{part:.3}"));
-    let predictions: Vec<String> = figure.predictions.iter().map(shown).collect();
+    let predictions: Vec<String> = figure.predictions.iter().map(format_prediction).collect();
     let _ = writeln!(
         text,
         "  {:<46} {:>11.4e} + {:>11.4e} n {:<5} residual {}, R2 {r_squared}; {}",
@@ -234,13 +239,13 @@
         line.fixed,
         line.slope,
         figure.unit,
-        optional(line.residual),
+        format_optional(line.residual),
         predictions.join(", ")
     );
 }
 
-/// A prediction, marked where it is extrapolated.
-fn shown(prediction: &Prediction) -> String {
+/// Formats a prediction, marked if it is extrapolated.
+fn format_prediction(prediction: &Prediction) -> String {
     let mark = if prediction.extrapolated { " (x)" } else { "" };
     format!("{}: {:.4}{mark}", prediction.size, prediction.value)
 }
--- a/testbed/src/scale/result.rs
+++ b/testbed/src/scale/result.rs
@@ -1,27 +1,28 @@
-//! What came of one size: plain numbers, written as JSON by the process that plays it and read by the one that fits.
+//! The result of one size: plain numbers, written as JSON by the process that runs the size and read by the one that
+//! fits the figures.
 
 use super::ledger::Delivery;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// One size.
+/// The result of one size.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SizeResult {
-    /// Hollow proxies, and hollow backends, asked for.
+    /// Hollow proxies, and also hollow backends, requested.
     pub size: usize,
-    /// Why not all of it was played, if so.
+    /// Why the run is incomplete, if it is.
     pub partial: Option<String>,
-    /// What it took to get 4 KiB to the nodes' disk before anything ran.
+    /// How long a write of 4 KiB to the nodes' disk took before anything ran.
     pub disk: DiskProbe,
     /// Seconds until all backends were registered.
     pub registered_s: f64,
-    /// Hollow proxies that were started.
+    /// Hollow proxies started.
     pub proxies: usize,
-    /// Of those, how many came to hold the whole list.
+    /// Hollow proxies that received the whole list.
     pub listed: usize,
-    /// Of those, how many came to be attached.
+    /// Hollow proxies that became attached.
     pub attached: usize,
-    /// Seconds from the start of the first proxy until all held the list and were attached.
+    /// Seconds from the start of the first proxy until all had the list and were attached.
     pub ready_s: f64,
     /// Memory of one hollow proxy, in MB.
     pub hollow_proxy_mb: f64,
@@ -29,160 +30,166 @@
     pub real_proxy_mb: Option<f64>,
     /// Bytes that one proxy exchanged from its start until all were ready.
     pub start_bytes_per_proxy: f64,
-    /// The bytes of the whole list, as a proxy first gets it.
+    /// Size of the whole list, as a proxy first receives it, in bytes.
     pub list_bytes: usize,
-    /// Nothing changes.
+    /// The phase without changes.
     pub rest: Phase,
-    /// Weights change.
+    /// Changes of backends' weights.
     pub list_changes: Changes,
-    /// Settings change; none where the proxies follow none.
+    /// Changes of the settings; none if the proxies don't follow the settings.
     pub settings_changes: Option<Changes>,
 }
 
 impl SizeResult {
-    /// Notes why not all of it was played as it should be; an earlier reason stays before it.
-    pub fn mark_partial(&mut self, why: &str) {
+    /// Records why the run is incomplete, after any earlier reason.
+    pub fn mark_partial(&mut self, reason: &str) {
         let earlier = self.partial.take().map_or(String::new(), |earlier| format!("{earlier}; "));
-        self.partial = Some(earlier + why);
+        self.partial = Some(earlier + reason);
     }
 }
 
-/// What the disk under the nodes takes for a small write, in milliseconds.
+/// Duration of a small write to the nodes' disk, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct DiskProbe {
-    /// Half of the writes took at most this.
+    /// The median.
     pub p50_ms: f64,
-    /// 99 in 100.
+    /// The 99th percentile.
     pub p99_ms: f64,
 }
 
 impl DiskProbe {
-    /// From what each write took.
+    /// The quantiles of these writes' durations.
     pub fn new(mut writes: Vec<Duration>) -> Self {
         writes.sort_unstable();
         Self { p50_ms: quantile(&writes, 0.5), p99_ms: quantile(&writes, 0.99) }
     }
 }
 
-/// What was used in a span of time.
+/// Resources used in one phase.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Phase {
     /// Its name.
     pub name: String,
-    /// How long it took.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// Each list-service node.
-    pub nodes: Vec<NodeUse>,
-    /// Processor time of one hollow proxy, in cores.
+    /// Use of each list-service node.
+    pub nodes: Vec<NodeUsage>,
+    /// Mean processor use of a hollow proxy, in cores.
     pub hollow_proxy_cores: f64,
-    /// The same of a real proxy without traffic.
+    /// Mean processor use of a real proxy without traffic, in cores.
     pub real_proxy_cores: Option<f64>,
-    /// Of one proxy with the list service, both ways.
+    /// Traffic between one proxy and the list service, in both directions.
     pub proxy_traffic: Traffic,
-    /// Of one backend with the list service, both ways.
+    /// Traffic between one backend and the list service, in both directions.
     pub backend_traffic: Traffic,
-    /// Of all nodes with each other.
+    /// Traffic between all nodes of the list service.
     pub between_nodes: Traffic,
-    /// How often another node led than at the look before (each half second).
+    /// How often the leader was another node than in the previous observation (every half second).
     pub leader_changes: usize,
-    /// The fewest entries that were listed at any look.
-    pub fewest_entries: Option<u64>,
-    /// How heartbeats ended.
+    /// Minimum number of listed entries in any observation.
+    #[serde(rename = "fewest_entries")]
+    pub min_entries: Option<u64>,
+    /// Outcomes of heartbeats.
     pub heartbeats: Heartbeats,
-    /// Cores that the whole machine used, whatever else ran on it included.
+    /// Cores that the whole machine used, including unrelated programs.
     pub machine_cores: f64,
-    /// Cores of the lab's own threads: hollow proxies, hollow backends, relays.
-    pub lab_cores: [f64; 3],
+    /// Cores that the testbed's own threads used: hollow proxies, hollow backends, relays.
+    #[serde(rename = "lab_cores")]
+    pub testbed_cores: [f64; 3],
 }
 
-/// What one list-service node used.
+/// Resources used by one list-service node.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct NodeUse {
-    /// Whether it led at the end of the phase.
-    pub leads: bool,
-    /// Processor time.
+pub struct NodeUsage {
+    /// Whether it was the leader at the end of the phase.
+    #[serde(rename = "leads")]
+    pub is_leader: bool,
+    /// Processor use, in cores.
     pub cores: f64,
-    /// Peak memory since its start, in MB.
+    /// Peak memory since the node's start, in MB.
     pub memory_mb: f64,
-    /// Bytes written to disk.
+    /// Bytes per second written to disk.
     pub disk_bytes_per_s: f64,
 }
 
-/// Bytes and requests in a second.
+/// Bytes and requests per second.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Bytes, both ways.
+    /// Bytes per second, in both directions.
     pub bytes_per_s: f64,
-    /// Requests.
+    /// Requests per second.
     pub requests_per_s: f64,
 }
 
-/// How heartbeats ended.
+/// Outcomes of heartbeats.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Heartbeats {
     /// Answered 200.
     pub answered: u64,
-    /// Of those, more than a second after they were due.
+    /// Answered 200 more than a second after they were due.
     pub over_1_s: u64,
-    /// Answered 404: the backend lives, and its entry was off the list.
-    pub off_the_list: u64,
-    /// Answered otherwise (503).
-    pub refused: u64,
-    /// No answer in time, or a broken connection.
+    /// Answered 404: the entry was not listed although the backend is alive.
+    #[serde(rename = "off_the_list")]
+    pub not_listed: u64,
+    /// Answered with another status (503).
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+    /// Not answered before the timeout, or the connection broke.
     pub unanswered: u64,
-    /// Left out by the backend, which was still waiting for the one before.
+    /// Not sent, because the backend was still waiting for the answer to the previous one.
     pub skipped: u64,
-    /// Half of the answered took at most this, from when they were due.
+    /// Median latency of the answered ones, from their due time.
     pub p50_ms: f64,
-    /// 99 in 100 of them.
+    /// 99th percentile of that latency.
     pub p99_ms: f64,
-    /// All of them.
+    /// Maximum of that latency.
     pub max_ms: f64,
-    /// The lab's own lateness at sending, 99 in 100.
+    /// The testbed's own lateness at sending, 99th percentile.
     pub lateness_p99_ms: f64,
-    /// The same, the worst.
+    /// The testbed's own lateness at sending, maximum.
     pub lateness_max_ms: f64,
 }
 
 impl Heartbeats {
-    /// Those that were not answered 200.
+    /// Number of heartbeats sent that were not answered 200.
     pub fn failed(&self) -> u64 {
-        self.off_the_list + self.refused + self.unanswered
+        self.not_listed + self.rejected + self.unanswered
     }
 }
 
-/// Changes, one after the other, and how they came to the proxies.
+/// Changes made one after the other, and their delivery to the proxies.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Changes {
-    /// Changes asked for.
-    pub asked: usize,
-    /// Of those, not acknowledged by the list service.
+    /// Changes requested.
+    #[serde(rename = "asked")]
+    pub requested: usize,
+    /// Requested changes that the list service did not acknowledge.
     pub unacknowledged: usize,
-    /// Times that an acknowledged change did not come to a proxy in time.
+    /// Deliveries of an acknowledged change to a proxy that did not complete in time.
     pub missed: usize,
-    /// From the write sent to the news at a proxy, over all changes and proxies: the median.
+    /// Median time from sending the write to its delivery at a proxy, over all changes and proxies.
     pub p50_ms: f64,
-    /// 99 in 100.
+    /// 99th percentile of that time.
     pub p99_ms: f64,
-    /// The slowest.
+    /// Maximum of that time.
     pub max_ms: f64,
-    /// The mean over the changes of the time to the last proxy.
+    /// Mean over the changes of the time until the last proxy was reached.
     pub mean_to_all_ms: f64,
-    /// What was used meanwhile.
+    /// Resources used meanwhile.
     pub phase: Phase,
 }
 
 impl Changes {
-    /// The figures of these deliveries.
-    pub fn new(asked: usize, deliveries: &[Delivery], phase: Phase) -> Self {
+    /// Computes the figures of these deliveries.
+    pub fn new(requested: usize, deliveries: &[Delivery], phase: Phase) -> Self {
         let mut delays: Vec<Duration> =
             deliveries.iter().flat_map(|delivery| delivery.delays.clone()).collect();
         delays.sort_unstable();
         let slowest: Vec<f64> =
             deliveries.iter().filter_map(|delivery| delivery.delays.iter().max()).map(ms).collect();
         Self {
-            asked,
-            unacknowledged: asked - deliveries.len(),
+            requested,
+            unacknowledged: requested - deliveries.len(),
             missed: deliveries.iter().map(|delivery| delivery.missed).sum(),
             p50_ms: quantile(&delays, 0.5),
             p99_ms: quantile(&delays, 0.99),
@@ -198,8 +205,9 @@
     time.as_secs_f64() * 1e3
 }
 
-/// The smallest value that this part of the sorted values is at most; 0 where there are none.
-fn quantile(sorted: &[Duration], part: f64) -> f64 {
-    let rank = (sorted.len() as f64 * part).ceil() as usize;
+/// The smallest value, in milliseconds, such that at least this fraction of the sorted values is at most that value; 0
+/// if there are no values.
+fn quantile(sorted: &[Duration], fraction: f64) -> f64 {
+    let rank = (sorted.len() as f64 * fraction).ceil() as usize;
     sorted.get(rank.saturating_sub(1)).map_or(0.0, ms)
 }
--- a/testbed/src/scale/sample.rs
+++ b/testbed/src/scale/sample.rs
@@ -1,128 +1,129 @@
-//! Samples of what every role has used, and what was used between two of them.
+//! Samples the resources used by each role, and computes the use between two samples.
 
 use super::backends::{self, Backends};
-use super::meter::{Meter, Passed, passed_by, sum};
+use super::meter::{Meter, TrafficTotals, relay_totals, sum};
 use super::proxies;
-use super::result::{Heartbeats, NodeUse, Phase, Traffic};
+use super::result::{Heartbeats, NodeUsage, Phase, Traffic};
 use crate::cluster::Cluster;
 use crate::process::Process;
 use crate::usage::{self, Usage};
 use hdrhistogram::Histogram;
 use std::time::{Duration, Instant};
 
-/// The lab's own thread for relays.
-const RELAY_THREAD: &str = "links";
+/// Name of the testbed's own thread that runs the relays.
+const RELAY_THREAD_NAME: &str = "links";
 
-/// What is sampled.
-pub struct Sampled<'a> {
+/// Sources of the samples.
+pub struct SampleSources<'a> {
     /// The list service.
     pub cluster: &'a Cluster,
-    /// Its nodes' processes.
-    pub nodes: &'a [u32],
+    /// Process IDs of the list service's nodes.
+    pub node_pids: &'a [u32],
     /// Real proxies without traffic.
-    pub real: &'a [Process],
+    pub real_proxies: &'a [Process],
     /// Hollow backends.
     pub backends: &'a Backends,
-    /// The relays of metered proxies.
+    /// Relays of the metered proxies.
     pub proxy_meter: &'a Meter,
-    /// The relays of metered backends.
+    /// Relays of the metered backends.
     pub backend_meter: &'a Meter,
-    /// How many hollow proxies there are.
+    /// Number of hollow proxies.
     pub proxies: usize,
-    /// How many proxies, and how many backends, are metered.
+    /// Number of metered proxies, and also of metered backends.
     pub metered: usize,
 }
 
-/// What had been used at one moment.
+/// Totals used up to one moment.
 struct Sample {
     at: Instant,
     nodes: Vec<Usage>,
-    real: Vec<Usage>,
+    real_proxies: Vec<Usage>,
     proxy_threads: Duration,
     backend_threads: Duration,
     relay_thread: Duration,
     machine: Duration,
-    proxies_passed: Passed,
-    backends_passed: Passed,
-    between_nodes: Passed,
+    proxy_traffic: TrafficTotals,
+    backend_traffic: TrafficTotals,
+    between_nodes: TrafficTotals,
 }
 
-/// A phase that is being played.
-pub struct Running {
+/// A phase in progress.
+pub struct RunningPhase {
     name: &'static str,
     from: Sample,
     leaders: Vec<u64>,
-    fewest_entries: Option<u64>,
+    min_entries: Option<u64>,
 }
 
-impl Sampled<'_> {
+impl SampleSources<'_> {
     fn sample(&self) -> std::io::Result<Sample> {
-        let nodes = self.nodes.iter().map(|pid| usage::of_process(*pid)).collect::<Result<_, _>>()?;
-        let real = self.real.iter().filter_map(Process::id);
+        let nodes = self.node_pids.iter().map(|pid| usage::of_process(*pid)).collect::<Result<_, _>>()?;
+        let real_proxy_pids = self.real_proxies.iter().filter_map(Process::id);
         Ok(Sample {
             at: Instant::now(),
             nodes,
-            real: real.map(usage::of_process).collect::<Result<_, _>>()?,
-            proxy_threads: usage::of_threads(proxies::THREADS)?,
-            backend_threads: usage::of_threads(backends::THREADS)?,
-            relay_thread: usage::of_threads(RELAY_THREAD)?,
+            real_proxies: real_proxy_pids.map(usage::of_process).collect::<Result<_, _>>()?,
+            proxy_threads: usage::of_threads(proxies::THREAD_NAME_PREFIX)?,
+            backend_threads: usage::of_threads(backends::THREAD_NAME_PREFIX)?,
+            relay_thread: usage::of_threads(RELAY_THREAD_NAME)?,
             machine: usage::of_machine()?,
-            proxies_passed: self.proxy_meter.passed(),
-            backends_passed: self.backend_meter.passed(),
-            between_nodes: sum(self.cluster.links().map(passed_by)),
+            proxy_traffic: self.proxy_meter.totals(),
+            backend_traffic: self.backend_meter.totals(),
+            between_nodes: sum(self.cluster.links().map(relay_totals)),
         })
     }
 
-    /// Begins a phase: what went before is not counted in it.
+    /// Begins a phase; earlier use is not counted.
     ///
     /// # Errors
-    /// Where a process has ended.
-    pub fn begin(&self, name: &'static str) -> std::io::Result<Running> {
+    /// If a sampled process has ended.
+    pub fn begin(&self, name: &'static str) -> std::io::Result<RunningPhase> {
         self.backends.take_counts();
         let from = self.sample()?;
-        let mut running = Running { name, from, leaders: Vec::new(), fewest_entries: None };
-        running.look(self.cluster);
+        let mut running = RunningPhase { name, from, leaders: Vec::new(), min_entries: None };
+        running.observe(self.cluster);
         Ok(running)
     }
 
-    /// Ends a phase.
+    /// Ends a phase and computes its figures.
     ///
     /// # Errors
-    /// Where a process has ended.
-    pub fn end(&self, mut running: Running) -> std::io::Result<Phase> {
-        running.look(self.cluster);
+    /// If a sampled process has ended.
+    pub fn end(&self, mut running: RunningPhase) -> std::io::Result<Phase> {
+        running.observe(self.cluster);
         let (from, to) = (running.from, self.sample()?);
         let seconds = to.at.duration_since(from.at).as_secs_f64();
         let cores = |from: Duration, to: Duration| to.saturating_sub(from).as_secs_f64() / seconds;
         let leader = running.leaders.last().copied();
-        let node = |(number, (from, to)): (usize, (&Usage, &Usage))| NodeUse {
-            leads: leader == Some(number as u64 + 1),
+        let node = |(number, (from, to)): (usize, (&Usage, &Usage))| NodeUsage {
+            is_leader: leader == Some(number as u64 + 1),
             cores: cores(from.processor, to.processor),
             memory_mb: to.peak_kb as f64 / 1e3,
             disk_bytes_per_s: (to.disk_bytes - from.disk_bytes) as f64 / seconds,
         };
-        let real = |(from, to): (&Usage, &Usage)| cores(from.processor, to.processor);
-        let real: Vec<f64> = from.real.iter().zip(&to.real).map(real).collect();
-        let per = |passed: Passed, count: usize| Traffic {
-            bytes_per_s: passed.bytes as f64 / seconds / count.max(1) as f64,
-            requests_per_s: passed.requests as f64 / seconds / count.max(1) as f64,
+        let process_cores = |(from, to): (&Usage, &Usage)| cores(from.processor, to.processor);
+        let real_proxy_cores: Vec<f64> =
+            from.real_proxies.iter().zip(&to.real_proxies).map(process_cores).collect();
+        let rates = |totals: TrafficTotals, count: usize| Traffic {
+            bytes_per_s: totals.bytes as f64 / seconds / count.max(1) as f64,
+            requests_per_s: totals.requests as f64 / seconds / count.max(1) as f64,
         };
-        let proxies_cores = cores(from.proxy_threads, to.proxy_threads);
+        let proxy_thread_cores = cores(from.proxy_threads, to.proxy_threads);
         Ok(Phase {
             name: running.name.into(),
             seconds,
             nodes: from.nodes.iter().zip(&to.nodes).enumerate().map(node).collect(),
-            hollow_proxy_cores: proxies_cores / self.proxies.max(1) as f64,
-            real_proxy_cores: mean(&real),
-            proxy_traffic: per(to.proxies_passed - from.proxies_passed, self.metered),
-            backend_traffic: per(to.backends_passed - from.backends_passed, self.metered),
-            between_nodes: per(to.between_nodes - from.between_nodes, 1),
-            leader_changes: running.leaders.windows(2).filter(|two| two[0] != two[1]).count(),
-            fewest_entries: running.fewest_entries,
+            hollow_proxy_cores: proxy_thread_cores / self.proxies.max(1) as f64,
+            real_proxy_cores: mean(&real_proxy_cores),
+            proxy_traffic: rates(to.proxy_traffic - from.proxy_traffic, self.metered),
+            backend_traffic: rates(to.backend_traffic - from.backend_traffic, self.metered),
+            between_nodes: rates(to.between_nodes - from.between_nodes, 1),
+            leader_changes: running.leaders.windows(2).filter(|pair| pair[0] != pair[1]).count(),
+            min_entries: running.min_entries,
             heartbeats: heartbeats(&self.backends.take_counts()),
             machine_cores: cores(from.machine, to.machine),
-            lab_cores: [
-                proxies_cores,
+            testbed_cores: [
+                proxy_thread_cores,
                 cores(from.backend_threads, to.backend_threads),
                 cores(from.relay_thread, to.relay_thread),
             ],
@@ -130,14 +131,14 @@
     }
 }
 
-impl Running {
-    /// Looks at who leads, and at how many entries are listed.
-    pub fn look(&mut self, cluster: &Cluster) {
+impl RunningPhase {
+    /// Records the current leader and the number of listed entries, as reported by the first node that answers.
+    pub fn observe(&mut self, cluster: &Cluster) {
         for node in 0..cluster.size() {
             let Some(status) = cluster.status(node) else { continue };
             self.leaders.extend(status["leader"].as_u64());
             let entries = status["entries"].as_u64();
-            self.fewest_entries = self.fewest_entries.into_iter().chain(entries).min();
+            self.min_entries = self.min_entries.into_iter().chain(entries).min();
             return;
         }
     }
@@ -152,8 +153,8 @@
     Heartbeats {
         answered: counts.answered,
         over_1_s: counts.late,
-        off_the_list: counts.off_the_list,
-        refused: counts.refused,
+        not_listed: counts.not_listed,
+        rejected: counts.rejected,
         unanswered: counts.unanswered,
         skipped: counts.skipped,
         p50_ms: ms(&counts.latency, 0.5),
--- a/testbed/src/scale/sizes.rs
+++ b/testbed/src/scale/sizes.rs
@@ -1,4 +1,4 @@
-//! All sizes of an experiment, each played by a process of its own.
+//! Runs all sizes of an experiment, each in its own process.
 
 use super::ScaleError;
 use super::experiment::{Proxies, ScaleExperiment};
@@ -14,31 +14,31 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// The proxies' settings; a session is added to them where the experiment has sessions.
-const SAMPLE: &str = include_str!("../../../deploy/sample.json");
-const POLL: Duration = Duration::from_millis(100);
-/// Hollow proxies replace both: nobody may listen, or be asked, there.
+/// The proxies' configuration; a session is added if the experiment has sessions.
+const SAMPLE_CONFIG: &str = include_str!("../../../deploy/sample.json");
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Placeholder for the listen and the discovery address: hollow proxies replace both, and nothing may listen on it.
 const UNUSED_ADDRESS: &str = "127.0.0.1:1";
 
-/// How an experiment is to be played.
+/// Options of an experiment.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The experiment's file.
+    /// The experiment file.
     pub file: String,
     /// Overrides of the file, `key=value`.
     pub set: Vec<String>,
-    /// The program.
+    /// The program to measure.
     pub program: PathBuf,
-    /// Where the report, the plot and each size's result and log go.
+    /// Directory of the report, the plot and each size's result and log.
     pub out: PathBuf,
-    /// Set from outside, it ends the size that is played, and no other is begun.
+    /// When set, the current size is ended early and no further size is started.
     pub stop: Arc<AtomicBool>,
 }
 
-/// Plays all sizes, and writes the report.
+/// Runs all sizes and writes the report.
 ///
 /// # Errors
-/// As [`ScaleError`] says; nothing is left running.
+/// See [`ScaleError`]; no process is left running.
 pub fn run(experiment: &ScaleExperiment, options: &Options) -> Result<ScaleReport, ScaleError> {
     std::fs::create_dir_all(&options.out)?;
     let config = options.out.join("proxy.json");
@@ -49,8 +49,8 @@
             break;
         }
         eprintln!("{}: size {size}", experiment.name);
-        results.push(play_apart(*size, &config, options)?);
-        // After each size, so that what was measured stays whatever comes next.
+        results.push(run_size_process(*size, &config, options)?);
+        // The report is written after each size, so that a later failure loses no result.
         write(experiment, options, &results)?;
     }
     write(experiment, options, &results)
@@ -69,8 +69,8 @@
     Ok(report)
 }
 
-/// Plays one size in a process of its own; one that fails is a partial result that says why.
-fn play_apart(size: usize, config: &Path, options: &Options) -> Result<SizeResult, ScaleError> {
+/// Runs one size in its own process; if that fails, the result is partial and gives the reason.
+fn run_size_process(size: usize, config: &Path, options: &Options) -> Result<SizeResult, ScaleError> {
     let result = options.out.join(format!("size-{size}.json"));
     let log = options.out.join(format!("size-{size}.log"));
     let mut command = Command::new(std::env::current_exe()?);
@@ -84,33 +84,33 @@
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(std::fs::File::create(&log)?);
     let succeeded = wait(command.spawn()?, &options.stop)?;
     if !succeeded {
-        let why = format!("failed, see {}", log.display());
-        return Ok(SizeResult { size, partial: Some(why), ..SizeResult::default() });
+        let reason = format!("failed, see {}", log.display());
+        return Ok(SizeResult { size, partial: Some(reason), ..SizeResult::default() });
     }
     Ok(serde_json::from_slice(&std::fs::read(&result)?)?)
 }
 
-/// Waits for the end of a size's process, which is asked to end early once the run is stopped.
+/// Waits for a size's process to end, interrupting it once `stop` is set; returns whether it succeeded.
 fn wait(mut child: Child, stop: &AtomicBool) -> std::io::Result<bool> {
-    let mut told = false;
+    let mut interrupted = false;
     loop {
         if let Some(status) = child.try_wait()? {
             return Ok(status.success());
         }
-        if stop.load(Ordering::SeqCst) && !told {
-            told = true;
-            let _ = kill(Pid::from_raw(child.id() as i32), Signal::SIGINT); // it may have ended meanwhile
+        if stop.load(Ordering::SeqCst) && !interrupted {
+            interrupted = true;
+            let _ = kill(Pid::from_raw(child.id() as i32), Signal::SIGINT); // it may have ended in the meantime
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// The configuration of hollow and real proxies: the sample's, with a session where the experiment has them.
+/// The configuration of hollow and real proxies: the sample, with a session if the experiment has sessions.
 ///
 /// # Errors
-/// `Result` where the embedded sample is not JSON.
+/// `Result` if the embedded sample is not JSON.
 pub fn proxy_config(proxies: &Proxies) -> Result<String, ScaleError> {
-    let mut config: Value = serde_json::from_str(SAMPLE)?;
+    let mut config: Value = serde_json::from_str(SAMPLE_CONFIG)?;
     if proxies.sessions {
         config["agreement"] = json!({"ttl-ms": proxies.session_ttl_ms});
     }
