--- a/testbed/src/overhead/backend.rs
+++ b/testbed/src/overhead/backend.rs
@@ -1,4 +1,4 @@
-//! Backends that answer at once, or, inside a chain, call the next level and pass its answer on.
+//! Backends that answer at once or, inside a chain, call the next level and forward its answer.
 
 use super::plan::Side;
 use super::pool::Pool;
@@ -9,19 +9,19 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The header that says on which side a call goes on.
+/// The header that selects the side on which a backend calls the next level.
 pub const SIDE_HEADER: &str = "x-side";
-/// Headers that a backend passes on with its own call; their names as read are lower-case.
-const PASSED_ON: [&str; 4] = ["x-lane", "x-org", "x-remaining-ms", SIDE_HEADER];
-/// The first id of backends' own calls, above all that the clients use: every request has an id of its own.
+/// Headers that a backend copies to its own call, in lower case as the names are after parsing.
+const FORWARDED_HEADERS: [&str; 4] = ["x-lane", "x-org", "x-remaining-ms", SIDE_HEADER];
+/// First id of the backends' own calls, above all ids of the clients: every request needs a unique id.
 const FIRST_ID: u64 = 1 << 63;
-/// The body of every answer of the last level.
+/// Body of the last level's answers.
 const BODY: &[u8] = b"{\"status\":\"done\"}";
 
-/// Counts the ids of backends' own calls.
+/// Next id of the backends' own calls.
 static NEXT_ID: AtomicU64 = AtomicU64::new(FIRST_ID);
 
-/// How a side is named in the header.
+/// Name of a side in the header.
 pub fn side_name(side: Side) -> &'static str {
     match side {
         Side::Direct => "direct",
@@ -29,7 +29,7 @@
     }
 }
 
-/// Whom a backend calls before it answers.
+/// Addresses of the next level, which a backend calls before it answers.
 #[derive(Clone, Debug)]
 pub struct NextLevel {
     /// The next level's backends.
@@ -38,16 +38,16 @@
     pub through: SocketAddr,
 }
 
-/// The next level as one backend's connections see it.
+/// One backend's connections to the next level.
 struct Upstream {
     direct: Pool,
     through: Pool,
 }
 
-/// Starts a backend on a loopback port that the system chooses; it lives as long as its event loop.
+/// Starts a backend on a loopback port chosen by the system; it runs until its event loop ends.
 ///
 /// # Errors
-/// Where no port can be had.
+/// If no port is available.
 pub fn start(event_loop: &Loop, next: Option<NextLevel>) -> std::io::Result<SocketAddr> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
     listener.set_nonblocking(true)?;
@@ -82,17 +82,17 @@
     }
 }
 
-/// The answer to one request.
+/// Builds the answer to one request.
 async fn respond(request: &Message, upstream: Option<&Upstream>) -> Vec<u8> {
     let is_probe = request.method_target().1.starts_with("/-/");
     match upstream {
-        Some(upstream) if !is_probe => pass_on(request, upstream).await,
+        Some(upstream) if !is_probe => forward(request, upstream).await,
         _ => answer(200, "OK", "Content-Type: application/json\r\n", BODY),
     }
 }
 
-/// Calls the next level, and answers as it did; 502 where it did not.
-async fn pass_on(request: &Message, upstream: &Upstream) -> Vec<u8> {
+/// Calls the next level and forwards its answer; answers 502 if the call fails.
+async fn forward(request: &Message, upstream: &Upstream) -> Vec<u8> {
     let pool = match request.header(SIDE_HEADER) == Some(side_name(Side::Direct)) {
         true => &upstream.direct,
         false => &upstream.through,
@@ -107,11 +107,11 @@
     }
 }
 
-/// A backend's own call for a request that it was sent.
+/// Builds a backend's own call for a request that it received.
 pub fn next_request(request: &Message) -> Vec<u8> {
     let (target, id) = (request_target(request), NEXT_ID.fetch_add(1, Ordering::Relaxed));
     let mut text = format!("{target} HTTP/1.1\r\nHost: next\r\nX-Txn: {id:016x}\r\n");
-    for name in PASSED_ON {
+    for name in FORWARDED_HEADERS {
         if let Some(value) = request.header(name) {
             text.push_str(&format!("{name}: {value}\r\n"));
         }
--- a/testbed/src/overhead/fixture.rs
+++ b/testbed/src/overhead/fixture.rs
@@ -1,5 +1,4 @@
-//! The processes of a measurement: for each level a list-service node, a proxy that watches it and the backends that
-//! it lists.
+//! The processes of a measurement: for each level a list-service node, a proxy that watches it and the listed backends.
 
 use super::backend::{self, NextLevel};
 use super::{Options, OverheadError};
@@ -12,30 +11,30 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The proxies' settings, but for what a measurement has to change ([`proxy_config`]).
-const SAMPLE: &str = include_str!("../../../deploy/sample.json");
-/// A tenant's quota in calls a second, far above every rate, so that no call is over its share.
+/// The proxies' configuration, before the changes that a measurement needs ([`proxy_config`]).
+const SAMPLE_CONFIG: &str = include_str!("../../../deploy/sample.json");
+/// A tenant's quota in calls per second, far above every rate, so that no call exceeds it.
 const QUOTA_PER_SECOND: f64 = 1e6;
 const BACKENDS_PER_LEVEL: usize = 3;
-/// Levels whose backends share an event loop, so that a long chain's backends don't wait for one thread.
+/// Number of levels whose backends share an event loop, so that a long chain's backends don't wait for one thread.
 const LEVELS_PER_LOOP: usize = 3;
-/// How long an entry is listed without a heartbeat: the longest TTL that the list service takes.
+/// TTL of the backends' entries: the maximum that the list service accepts.
 const TTL_MS: u64 = 300_000;
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-const READY_POLL: Duration = Duration::from_millis(20);
-/// What the processes may live longer than the load is planned to take.
-const SLACK: Duration = Duration::from_secs(300);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long the processes may run beyond the planned duration of the load.
+const LIFETIME_MARGIN: Duration = Duration::from_secs(300);
 
-/// One level: what calls reach directly, and the proxy before it.
+/// One level: its backends, and the proxy in front of them.
 struct Level {
     backends: Vec<SocketAddr>,
     proxy: Process,
     registry: Process,
 }
 
-/// All levels; their processes end with it.
+/// All levels; dropping it ends their processes.
 pub struct Fixture {
-    /// From the one that clients call.
+    /// In the order in which a call passes through them.
     levels: Vec<Level>,
     /// Keeps the backends' event loops running.
     _loops: Vec<Loop>,
@@ -47,7 +46,7 @@
     /// Starts all levels and waits until each proxy is ready.
     ///
     /// # Errors
-    /// As [`OverheadError`] says.
+    /// See [`OverheadError`].
     pub fn start(options: &Options) -> Result<Self, OverheadError> {
         let scratch = Scratch::new("fleet-testbed-overhead")?;
         let mut fleet = Fleet::new(&options.program, scratch.path(), deadline(options));
@@ -57,51 +56,52 @@
             if number % LEVELS_PER_LOOP == 0 {
                 loops.push(Loop::start(&format!("backends-{number}"))?);
             }
-            let next = levels.last().map(Level::as_next);
+            let next = levels.last().map(Level::as_next_level);
             levels.push(Level::start(&mut fleet, &loops[number / LEVELS_PER_LOOP], next)?);
         }
         levels.reverse();
         Ok(Self { levels, _loops: loops, _fleet: fleet, _scratch: scratch })
     }
 
-    /// The backends that a direct call goes to.
+    /// The backends that direct calls are sent to.
     pub fn backends(&self) -> &[SocketAddr] {
         &self.levels[0].backends
     }
 
-    /// The proxy that a call through the proxies goes to.
+    /// The proxy that calls through the proxies are sent to.
     pub fn proxy(&self) -> SocketAddr {
         self.levels[0].proxy.address()
     }
 
-    /// Keeps every backend listed for another TTL.
-    pub fn keep_listed(&self) {
+    /// Sends a heartbeat for every backend, so that it stays listed for another TTL.
+    pub fn send_heartbeats(&self) {
         for level in &self.levels {
             for id in (0..level.backends.len()).map(backend_id) {
                 let heartbeat = json!({"instanceId": id});
-                // One that is lost leaves the entry listed: a TTL is many blocks long.
+                // The result is ignored: the TTL spans many blocks, so a lost heartbeat does not remove the entry.
                 call(level.registry.address(), "POST", "/v1/heartbeat", &heartbeat);
             }
         }
     }
 
-    /// The processor time that all proxies have used.
+    /// Total processor time used by all proxies so far.
     ///
     /// # Errors
-    /// Where one has ended.
+    /// If a proxy has ended.
     pub fn proxies_processor_time(&self) -> std::io::Result<Duration> {
-        let of = |level: &Level| -> std::io::Result<Duration> {
+        let processor_time = |level: &Level| -> std::io::Result<Duration> {
             let pid = level.proxy.id().ok_or_else(|| std::io::Error::other("a proxy has ended"))?;
             Ok(usage::of_process(pid)?.processor)
         };
-        self.levels.iter().map(of).sum()
+        self.levels.iter().map(processor_time).sum()
     }
 }
 
 impl Level {
     fn start(fleet: &mut Fleet, event_loop: &Loop, next: Option<NextLevel>) -> Result<Self, OverheadError> {
-        let started = |_| backend::start(event_loop, next.clone());
-        let backends: Vec<SocketAddr> = (0..BACKENDS_PER_LEVEL).map(started).collect::<Result<_, _>>()?;
+        let start_backend = |_| backend::start(event_loop, next.clone());
+        let backends: Vec<SocketAddr> =
+            (0..BACKENDS_PER_LEVEL).map(start_backend).collect::<Result<_, _>>()?;
         let registry = fleet
             .registry("listen = \"127.0.0.1:0\"\n")
             .map_err(|error| OverheadError::Start("list service", error))?;
@@ -115,14 +115,14 @@
         Ok(Self { backends, proxy, registry })
     }
 
-    fn as_next(&self) -> NextLevel {
+    fn as_next_level(&self) -> NextLevel {
         NextLevel { direct: self.backends.clone(), through: self.proxy.address() }
     }
 }
 
 fn deadline(options: &Options) -> Duration {
     let blocks = 2 * options.rates.len() * options.pairs();
-    Duration::from_secs_f64(blocks as f64 * options.block_seconds) + SLACK
+    Duration::from_secs_f64(blocks as f64 * options.block_seconds) + LIFETIME_MARGIN
 }
 
 fn backend_id(number: usize) -> String {
@@ -143,21 +143,21 @@
     )
 }
 
-fn wait_until(holds: impl Fn() -> bool, what: &'static str) -> Result<(), OverheadError> {
+fn wait_until(condition: impl Fn() -> bool, component: &'static str) -> Result<(), OverheadError> {
     let deadline = Instant::now() + READY_TIMEOUT;
-    while !holds() {
+    while !condition() {
         if Instant::now() >= deadline {
-            return Err(OverheadError::NotReady(what));
+            return Err(OverheadError::NotReady(component));
         }
-        std::thread::sleep(READY_POLL);
+        std::thread::sleep(READY_POLL_INTERVAL);
     }
     Ok(())
 }
 
-/// The sample's settings with quotas that no rate reaches; where to listen and whom to watch goes by the environment.
+/// The sample configuration with quotas that no rate reaches; the environment sets the listen and discovery addresses.
 fn proxy_config() -> Result<String, OverheadError> {
     let mut config: Value =
-        serde_json::from_str(SAMPLE).map_err(|error| OverheadError::Sample(error.to_string()))?;
+        serde_json::from_str(SAMPLE_CONFIG).map_err(|error| OverheadError::Sample(error.to_string()))?;
     let projects = config["settings"]["projects"].as_array_mut();
     let projects = projects.ok_or_else(|| OverheadError::Sample("no projects".into()))?;
     for project in projects {
--- a/testbed/src/overhead/mod.rs
+++ b/testbed/src/overhead/mod.rs
@@ -1,12 +1,12 @@
-//! `fleet-testbed overhead`: what one proxy, or a chain of them, adds to a call.
+//! `fleet-testbed overhead`: measures the latency that one proxy, or a chain of them, adds to a call.
 //!
-//! Calls go to backends that answer at once, in an open loop: each has a due time that was drawn before, and its
-//! latency counts from then on, so that a slow path can't hold back its own load (no coordinated omission). Blocks of
-//! calls sent directly and blocks sent through the proxies alternate; what is added is the difference between the two
-//! blocks of a pair. The lab's own lateness, from the due time to the write, stands beside every figure.
+//! Calls go to backends that answer at once, in an open loop: the due time of each call is drawn in advance, and its
+//! latency is measured from the due time, so that a slow path can't reduce its own load (no coordinated omission).
+//! Blocks of calls sent directly and blocks sent through the proxies alternate; the added latency is the difference
+//! between the two blocks of a pair. The testbed's own lateness, from the due time to the write, is reported as well.
 //!
-//! `plan` draws the blocks and due times, `pool` keeps connections, `backend` holds the backends, `fixture` starts the
-//! processes, `load` sends, `figures` reckons and `report` writes.
+//! `plan` draws the blocks and due times, `pool` reuses connections, `backend` implements the backends, `fixture`
+//! starts the processes, `load` sends the calls, `figures` computes the figures, `report` and `plot` write the output.
 
 mod backend;
 mod figures;
@@ -30,23 +30,23 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use thiserror::Error;
 
-/// Seconds of load on each side before the first block that counts.
+/// Seconds of load on each side before the first measured block.
 const WARM_UP_SECONDS: f64 = 3.0;
-/// Calls a second in the warm-up.
+/// Calls per second during the warm-up.
 const WARM_UP_RATE: f64 = 100.0;
-/// Most proxies in a chain.
-pub const MOST_DEPTH: usize = 16;
-/// Highest rate, in calls a second: the lab's own lateness grows beyond.
-pub const MOST_RATE: f64 = 5_000.0;
+/// Maximum number of proxies in a chain.
+pub const MAX_DEPTH: usize = 16;
+/// Maximum rate, in calls per second: above it the testbed's own lateness grows.
+pub const MAX_RATE: f64 = 5_000.0;
 
-/// What is to be measured.
+/// Options of a measurement.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program.
+    /// The program to measure.
     pub program: PathBuf,
-    /// Proxies that a call passes, one behind the other.
+    /// Number of proxies in the chain that a call passes through.
     pub depth: usize,
-    /// Calls a second, one rate after the other.
+    /// Rates in calls per second, measured one after the other.
     pub rates: Vec<f64>,
     /// Seconds of load on each side at each rate.
     pub seconds: f64,
@@ -54,28 +54,28 @@
     pub block_seconds: f64,
     /// The seed of the due times.
     pub seed: u64,
-    /// Where the report and the plot go, if anywhere.
+    /// Directory of the report and the plot; none if they are not written.
     pub out: Option<PathBuf>,
-    /// Set from outside, it ends the measurement behind the block that runs.
+    /// When set, the measurement ends after the current block.
     pub stop: Arc<AtomicBool>,
 }
 
-/// Why nothing could be measured.
+/// Why the measurement failed.
 #[derive(Debug, Error)]
 pub enum OverheadError {
-    /// An option out of its range.
+    /// An option is out of range.
     #[error("{0}")]
     Option(&'static str),
     /// A process did not start.
     #[error("{0}: {1}")]
     Start(&'static str, StartError),
-    /// A process did not get ready.
+    /// A process did not become ready in time.
     #[error("not ready in time: {0}")]
     NotReady(&'static str),
     /// The embedded sample configuration is not of the expected form.
     #[error("deploy/sample.json: {0}")]
     Sample(String),
-    /// The system refused something.
+    /// An I/O operation failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
     /// The plot can't be drawn.
@@ -85,28 +85,31 @@
 
 impl Options {
     fn check(&self) -> Result<(), OverheadError> {
-        let check = |ok: bool, why| if ok { Ok(()) } else { Err(OverheadError::Option(why)) };
-        let positive = |value: f64| value.is_finite() && value > 0.0;
-        check((1..=MOST_DEPTH).contains(&self.depth), "depth: from 1 to 16")?;
-        let in_range = |rate: &f64| positive(*rate) && *rate <= MOST_RATE;
-        check(!self.rates.is_empty() && self.rates.iter().all(in_range), "rates: above 0, up to 5,000")?;
-        check(positive(self.block_seconds) && self.block_seconds <= 600.0, "block: above 0, up to 600 s")?;
-        check(
+        let require = |ok: bool, message| if ok { Ok(()) } else { Err(OverheadError::Option(message)) };
+        let is_positive = |value: f64| value.is_finite() && value > 0.0;
+        require((1..=MAX_DEPTH).contains(&self.depth), "depth: from 1 to 16")?;
+        let in_range = |rate: &f64| is_positive(*rate) && *rate <= MAX_RATE;
+        require(!self.rates.is_empty() && self.rates.iter().all(in_range), "rates: above 0, up to 5,000")?;
+        require(
+            is_positive(self.block_seconds) && self.block_seconds <= 600.0,
+            "block: above 0, up to 600 s",
+        )?;
+        require(
             self.seconds >= self.block_seconds && self.seconds <= 86_400.0,
             "seconds: from a block to a day",
         )
     }
 
-    /// Pairs of blocks at each rate.
+    /// Number of pairs of blocks at each rate.
     fn pairs(&self) -> usize {
         (self.seconds / self.block_seconds).ceil() as usize
     }
 }
 
-/// Measures, and writes the report where the options say so.
+/// Runs the measurement, and writes the report if the options name a directory.
 ///
 /// # Errors
-/// As [`OverheadError`] says; nothing is left running.
+/// See [`OverheadError`]; no process is left running.
 pub fn run(options: &Options) -> Result<OverheadReport, OverheadError> {
     options.check()?;
     let fixture = Fixture::start(options)?;
@@ -117,7 +120,7 @@
         if options.stop.load(Ordering::SeqCst) {
             break;
         }
-        fixture.keep_listed();
+        fixture.send_heartbeats();
         results.push(measure(block, options, &fixture, &generator)?);
     }
     let report = OverheadReport::new(options, &results);
@@ -127,25 +130,25 @@
     Ok(report)
 }
 
-/// Brings connections and the proxies' estimates up, on both sides.
+/// Opens connections and warms up the proxies' estimates, on both sides.
 fn warm_up(options: &Options, generator: &Generator) {
     for side in [Side::Direct, Side::Through] {
         let block = Block { rate: WARM_UP_RATE, side, pair: 0, seconds: WARM_UP_SECONDS };
-        generator.play(side, &plan::due_times(&block, options.seed));
+        generator.run_block(side, &plan::due_times(&block, options.seed));
     }
 }
 
-/// Plays one block, with the proxies' processor time beside it.
+/// Runs one block, and measures the processor time of the proxies and of the machine.
 fn measure(
     block: Block,
     options: &Options,
     fixture: &Fixture,
     generator: &Generator,
 ) -> Result<BlockResult, OverheadError> {
-    let (proxies, machine) = (fixture.proxies_processor_time()?, usage::of_machine()?);
-    let outcome = generator.play(block.side, &plan::due_times(&block, options.seed));
-    let processor = fixture.proxies_processor_time()?.saturating_sub(proxies);
-    let machine = usage::of_machine()?.saturating_sub(machine);
+    let (proxies_before, machine_before) = (fixture.proxies_processor_time()?, usage::of_machine()?);
+    let outcome = generator.run_block(block.side, &plan::due_times(&block, options.seed));
+    let processor = fixture.proxies_processor_time()?.saturating_sub(proxies_before);
+    let machine = usage::of_machine()?.saturating_sub(machine_before);
     Ok(BlockResult { block, outcome, processor, machine })
 }
 
--- a/testbed/src/overhead/plan.rs
+++ b/testbed/src/overhead/plan.rs
@@ -1,4 +1,4 @@
-//! The order of the blocks, and when each call of a block is due. Pure: the same seed gives the same plan.
+//! Plans the order of the blocks and the due times of their calls. Deterministic: the same seed gives the same plan.
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -10,39 +10,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Side {
-    /// Without a proxy.
+    /// Directly, without a proxy.
     Direct,
     /// Through the proxies.
     Through,
 }
 
-/// A stretch of calls at one rate, all on one side.
+/// A period of calls at one rate, all on one side.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Block {
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
     /// The side.
     pub side: Side,
-    /// Which pair of blocks it belongs to, from 0 at each rate.
+    /// Index of the block's pair, counted from 0 at each rate.
     pub pair: usize,
-    /// How long calls fall due.
+    /// Length of the period in which calls are due, in seconds.
     pub seconds: f64,
 }
 
-/// All blocks in the order in which they are played: at each rate pairs of both sides, with the side that goes first
-/// alternating, so that a drift of the machine favours neither.
+/// All blocks in the order in which they are run: pairs of both sides at each rate. The side that goes first
+/// alternates, so that a drift in the machine's speed favours neither.
 pub fn blocks(rates: &[f64], pairs: usize, seconds: f64) -> Vec<Block> {
     let sides = |pair: usize| match pair % 2 {
         0 => [Side::Direct, Side::Through],
         _ => [Side::Through, Side::Direct],
     };
-    let of_rate = |rate: f64| {
+    let blocks_at = |rate: f64| {
         (0..pairs).flat_map(move |pair| sides(pair).map(|side| Block { rate, side, pair, seconds }))
     };
-    rates.iter().flat_map(|rate| of_rate(*rate)).collect()
+    rates.iter().flat_map(|rate| blocks_at(*rate)).collect()
 }
 
-/// When the calls of a block are due, from its start: Poisson arrivals. Both blocks of a pair have the same ones.
+/// Due times of the calls of a block, from its start: Poisson arrivals. Both blocks of a pair have the same due times.
 pub fn due_times(block: &Block, seed: u64) -> Vec<Duration> {
     let pair_seed = seed ^ (block.pair as u64).rotate_left(32) ^ block.rate.to_bits();
     let mut rng = SmallRng::seed_from_u64(pair_seed);
--- a/testbed/src/overhead/plot.rs
+++ b/testbed/src/overhead/plot.rs
@@ -1,4 +1,4 @@
-//! The plot: latency by quantile, both sides at each rate.
+//! Plots latency by quantile, for both sides at each rate.
 
 use super::figures::{BlockResult, merged};
 use super::plan::Side;
@@ -7,33 +7,33 @@
 use plotters::prelude::*;
 use std::path::Path;
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-const SIZE: (u32, u32) = (1100, 480);
-/// Quantiles are drawn by nines: 50% at 0.3, 90% at 1, 99% at 2, 99.9% at 3.
-const MOST_NINES: f64 = 3.0;
+const SIZE_PX: (u32, u32) = (1100, 480);
+/// The x axis shows quantiles by number of nines: 50% at 0.3, 90% at 1, 99% at 2, 99.9% at 3.
+const MAX_NINES: f64 = 3.0;
 const STEPS: usize = 300;
 
-/// Draws the plot into a file.
+/// Draws the plot to a file.
 ///
 /// # Errors
-/// What the drawing or the file says.
-pub fn draw(path: &Path, report: &OverheadReport, results: &[BlockResult]) -> Drawn {
+/// Errors of the drawing library or of the file.
+pub fn draw(path: &Path, report: &OverheadReport, results: &[BlockResult]) -> DrawResult {
     let lines: Vec<Line> = report
         .rates
         .iter()
         .flat_map(|rate| [Side::Direct, Side::Through].map(|side| Line::new(rate.rate, side, results)))
         .collect();
     let top = lines.iter().flat_map(|line| &line.points).map(|(_, us)| *us).fold(1.0, f64::max) * 1.1;
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let area = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
-    let title = format!("time of a call from when it was due, through {} proxies and direct", report.depth);
+    let title = format!("latency from the due time, direct and through {} proxies", report.depth);
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(70)
-        .build_cartesian_2d(0.0..MOST_NINES, (1.0..top).log_scale())?;
+        .build_cartesian_2d(0.0..MAX_NINES, (1.0..top).log_scale())?;
     let percent = |nines: &f64| format!("{:.1}%", 100.0 * quantile_of(*nines));
     chart.configure_mesh().y_desc("us").x_label_formatter(&percent).draw()?;
     for (number, line) in lines.into_iter().enumerate() {
@@ -58,19 +58,19 @@
 
 impl Line {
     fn new(rate: f64, side: Side, results: &[BlockResult]) -> Self {
-        let of_line = results.iter().filter(|r| r.block.rate == rate && r.block.side == side);
-        let latency = merged(of_line.map(|result| &result.outcome.latency));
-        let word = if side == Side::Direct { "direct" } else { "through" };
-        Self { name: format!("{rate}/s {word}"), side, points: points(&latency) }
+        let line_results = results.iter().filter(|r| r.block.rate == rate && r.block.side == side);
+        let latency = merged(line_results.map(|result| &result.outcome.latency));
+        let side_name = if side == Side::Direct { "direct" } else { "through" };
+        Self { name: format!("{rate}/s {side_name}"), side, points: points(&latency) }
     }
 }
 
 fn points(latency: &Histogram<u64>) -> Vec<(f64, f64)> {
-    let at = |step: usize| {
-        let nines = MOST_NINES * step as f64 / STEPS as f64;
+    let point = |step: usize| {
+        let nines = MAX_NINES * step as f64 / STEPS as f64;
         (nines, (latency.value_at_quantile(quantile_of(nines)) as f64 / 1e3).max(1.0))
     };
-    (0..=STEPS).map(at).collect()
+    (0..=STEPS).map(point).collect()
 }
 
 fn quantile_of(nines: f64) -> f64 {
--- a/testbed/src/overhead/pool.rs
+++ b/testbed/src/overhead/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one group of servers, kept open from call to call.
+//! Connections to one group of servers, kept open between calls.
 
 use crate::http::{Conn, Message};
 use std::cell::{Cell, RefCell};
@@ -7,23 +7,23 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Longest wait for one call.
+/// Timeout of one call.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Most idle connections kept to one server.
-const MOST_IDLE: usize = 256;
+/// Maximum number of idle connections kept open to one server.
+const MAX_IDLE_PER_SERVER: usize = 256;
 
-/// Why a call has no answer.
+/// Why a call got no answer.
 #[derive(Debug, Error)]
 pub enum CallFailure {
-    /// The connection never came up.
+    /// The connection could not be established.
     #[error("cannot connect: {0}")]
     Connect(std::io::Error),
-    /// It broke before the answer was whole.
+    /// The connection broke before the answer was complete.
     #[error("the connection broke")]
     Broken,
     /// No answer within [`CALL_TIMEOUT`].
     #[error("no answer in time")]
-    Late,
+    Timeout,
 }
 
 /// One server and its idle connections.
@@ -32,20 +32,20 @@
     idle: RefCell<Vec<Conn>>,
 }
 
-/// Servers that are called in turn. All its tasks run on one event loop.
+/// Servers that are called in turn. A pool belongs to one event loop.
 pub struct Pool {
     servers: Vec<Server>,
     next: Cell<usize>,
 }
 
 impl Pool {
-    /// A pool of these servers, not yet connected.
+    /// A pool for these servers, without any connections yet.
     pub fn new(addresses: &[SocketAddr]) -> Self {
         let server = |address: &SocketAddr| Server { address: *address, idle: RefCell::default() };
         Self { servers: addresses.iter().map(server).collect(), next: Cell::new(0) }
     }
 
-    /// A connection to the next server.
+    /// Returns a connection to the next server.
     ///
     /// # Errors
     /// `Connect`.
@@ -62,7 +62,7 @@
 }
 
 impl Server {
-    /// An idle connection that the server has not closed.
+    /// Takes an idle connection that the server has not closed.
     fn take_idle(&self) -> Option<Conn> {
         loop {
             let connection = self.idle.borrow_mut().pop()?;
@@ -79,14 +79,14 @@
     }
 }
 
-/// Whether nothing has come on an idle connection, an end included.
+/// Whether an idle connection has received nothing, neither data nor its end.
 fn is_open(connection: &Conn) -> bool {
     let mut byte = [0u8; 1];
     let read = connection.stream().try_read(&mut byte);
     connection.is_clean() && read.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// A connection taken out of a pool; it goes back behind a whole answer.
+/// A connection taken from a pool; it is returned to the pool after a complete answer.
 pub struct PooledConnection<'a> {
     server: &'a Server,
     connection: Conn,
@@ -96,15 +96,15 @@
     /// Sends a request and reads its answer.
     ///
     /// # Errors
-    /// `Broken` or `Late`; the connection is then closed.
+    /// `Broken` or `Timeout`; the connection is then closed.
     pub async fn call(mut self, request: &[u8]) -> Result<Message, CallFailure> {
         let exchange = tokio::time::timeout(CALL_TIMEOUT, async {
             self.connection.write(request).await.map_err(|_| CallFailure::Broken)?;
             self.connection.read().await.map_err(|_| CallFailure::Broken)
         });
-        let answer = exchange.await.unwrap_or(Err(CallFailure::Late))?;
+        let answer = exchange.await.unwrap_or(Err(CallFailure::Timeout))?;
         let mut idle = self.server.idle.borrow_mut();
-        if !answer.closes() && idle.len() < MOST_IDLE {
+        if !answer.closes() && idle.len() < MAX_IDLE_PER_SERVER {
             idle.push(self.connection);
         }
         Ok(answer)
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -56,7 +56,7 @@
     /// A size's result can't be parsed.
     #[error("result: {0}")]
     Result(#[from] serde_json::Error),
-    /// A system call failed.
+    /// An I/O operation failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
     /// The plot can't be drawn.
