--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -378,23 +378,23 @@
         if stop.load(Ordering::SeqCst) {
             break;
         }
-        let played = play::play(plan, &options.program)?;
+        let played = play::run_plan(plan, &options.program)?;
         println!(
             "seed {}: {} faults, {} tries, {} served, {} refused, {} sent after SIGTERM, {} broken",
             plan.seed,
             plan.faults.len(),
-            played.tries,
+            played.requests,
             played.served,
             played.refused,
             played.sent_after_sigterm,
-            played.breaks.len()
+            played.violations.len()
         );
         // The first of them, and the last, which may tell of all.
-        let shown = played.breaks.iter().take(MAX_BREAKS_SHOWN);
-        for one in shown.chain(played.breaks.iter().skip(MAX_BREAKS_SHOWN).last()) {
-            println!("  {}: {}", one.rule, one.what);
+        let shown = played.violations.iter().take(MAX_BREAKS_SHOWN);
+        for one in shown.chain(played.violations.iter().skip(MAX_BREAKS_SHOWN).last()) {
+            println!("  {}: {}", one.rule, one.description);
         }
-        if played.breaks.is_empty() {
+        if played.violations.is_empty() {
             continue;
         }
         failed += 1;
@@ -411,7 +411,7 @@
 /// The least plan that still fails.
 fn shrunk(plan: &Plan, options: &SoakOptions) -> Plan {
     shrink::shrink(plan, |shorter| {
-        play::play(shorter, &options.program).is_ok_and(|played| !played.breaks.is_empty())
+        play::run_plan(shorter, &options.program).is_ok_and(|played| !played.violations.is_empty())
     })
 }
 
--- a/testbed/src/soak/client.rs
+++ b/testbed/src/soak/client.rs
@@ -1,7 +1,7 @@
-//! Clients of the soak: each sends one request after another on kept connections, in the manner of the moment.
+//! Clients of the soak: each sends one request after another on persistent connections, and may misbehave.
 
-use super::ledger::{BadPeer, ClientRequest, End, Lane, Shared, open};
-use super::plan::Manner;
+use super::ledger::{Class, ClientRequest, Outcome, SharedLedger, StalledPeer, lock_ledger};
+use super::plan::ClientMisbehaviour;
 use crate::http::{Conn, ReadError};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -13,112 +13,114 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Beyond its time a client waits so much longer: an answer that late only earns nothing.
-const GRACE: Duration = Duration::from_millis(700);
-/// A peer that sends no whole request is owed an end within 3 s; it waits for longer, to see.
-const BAD_PEER_WAITS: Duration = Duration::from_secs(4);
-/// The pause of a client between two requests, at most.
-const PAUSE_MS: u64 = 60;
-/// The pause of a client that rests, in milliseconds: a proxy must not close its connection so early.
-const REST_MS: RangeInclusive<u64> = 200..=1200;
+/// How much longer than its budget a client waits for an answer: an answer that late is useless, but not lost.
+const ANSWER_GRACE: Duration = Duration::from_millis(700);
+/// How long a stalled peer waits for the end of its connection: more than the 3 s that a proxy is allowed.
+const STALLED_PEER_WAIT: Duration = Duration::from_secs(4);
+/// The longest pause of a client between two requests, in milliseconds.
+const MAX_PAUSE_MS: u64 = 60;
+/// The pauses of [`ClientMisbehaviour::LongPauses`], in milliseconds: a proxy must not close a connection so early.
+const LONG_PAUSE_MS: RangeInclusive<u64> = 200..=1200;
 
-/// Which proxies clients may go to, and where they are.
+/// The proxies that clients connect to.
 pub struct Front {
-    /// Where each proxy listens.
+    /// The address of each proxy.
     pub addresses: RefCell<Vec<SocketAddr>>,
-    /// Whether new connections go to it.
-    pub takes: RefCell<Vec<bool>>,
+    /// Whether clients open new connections to each proxy.
+    pub in_service: RefCell<Vec<bool>>,
 }
 
 impl Front {
-    /// A proxy that takes new connections, beginning at `wanted`.
-    fn pick(&self, wanted: usize) -> Option<usize> {
-        let takes = self.takes.borrow();
-        (0..takes.len()).map(|n| (wanted + n) % takes.len()).find(|n| takes[*n])
+    /// The first proxy in service, counted from `preferred`; none if there is none.
+    fn pick(&self, preferred: usize) -> Option<usize> {
+        let in_service = self.in_service.borrow();
+        (0..in_service.len()).map(|n| (preferred + n) % in_service.len()).find(|n| in_service[*n])
     }
 }
 
-/// A connection that is kept: to which proxy, and since when it is idle.
-type Kept = (usize, Conn, Instant);
+/// An idle connection: its proxy, and since when it is idle.
+type IdleConnection = (usize, Conn, Instant);
 
-/// What all clients share.
+/// The state that all clients share.
 pub struct Clients {
-    /// The front.
+    /// The proxies.
     pub front: Rc<Front>,
-    /// What was seen.
-    pub ledger: Shared,
-    /// Their manner now.
-    pub manner: Cell<Option<Manner>>,
-    /// They end.
-    pub over: Cell<bool>,
-    /// The longest time that a request waits, in seconds.
+    /// Where the clients record their requests.
+    pub ledger: SharedLedger,
+    /// How they misbehave now, if at all.
+    pub misbehaviour: Cell<Option<ClientMisbehaviour>>,
+    /// Whether they are to end.
+    pub is_stopped: Cell<bool>,
+    /// The longest budget of a request, in seconds.
     pub deadline: f64,
-    /// Ids used so far.
-    pub ids: Cell<u64>,
+    /// The number of ids used so far.
+    pub used_ids: Cell<u64>,
 }
 
 impl Clients {
-    fn id(&self) -> u64 {
-        self.ids.set(self.ids.get() + 1);
-        0x50a0_0000_0000 + self.ids.get()
+    fn next_id(&self) -> u64 {
+        self.used_ids.set(self.used_ids.get() + 1);
+        0x50a0_0000_0000 + self.used_ids.get()
     }
 
-    fn text(&self, id: u64, lane: Lane, budget: f64) -> Vec<u8> {
-        let method = if lane == Lane::Safe { "GET" } else { "POST" };
-        let key = if lane == Lane::Keyed { format!("Idempotency-Key: {id:032x}\r\n") } else { String::new() };
-        let (length, body) = match lane {
-            Lane::Safe => (String::new(), String::new()),
+    fn request_text(&self, id: u64, class: Class, budget: f64) -> Vec<u8> {
+        let method = if class == Class::Idempotent { "GET" } else { "POST" };
+        let key =
+            if class == Class::Keyed { format!("Idempotency-Key: {id:032x}\r\n") } else { String::new() };
+        let (length, body) = match class {
+            Class::Idempotent => (String::new(), String::new()),
             _ => ("Content-Length: 120\r\n".to_string(), "x".repeat(120)),
         };
-        let left = (budget * 1000.0) as u64;
+        let remaining_ms = (budget * 1000.0) as u64;
         format!(
             "{method} /api HTTP/1.1\r\nHost: app\r\nX-Txn: {id:016x}\r\nX-Lane: {}\r\nX-Org: default\r\n\
-             X-Remaining-Ms: {left}\r\n{key}{length}\r\n{body}",
-            lane.name()
+             X-Remaining-Ms: {remaining_ms}\r\n{key}{length}\r\n{body}",
+            class.name()
         )
         .into_bytes()
     }
 
-    /// One client, until all are over.
-    pub async fn play(self: Rc<Self>, home: usize, seed: u64) {
+    /// Runs one client until all clients are stopped.
+    pub async fn run(self: Rc<Self>, preferred: usize, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut kept: Option<Kept> = None;
-        while !self.over.get() {
+        let mut idle_connection: Option<IdleConnection> = None;
+        while !self.is_stopped.get() {
             tokio::time::sleep(self.pause(&mut rng)).await;
-            if self.manner.get() == Some(Manner::StopMidway) && rng.random_bool(0.1) {
-                self.stop_midway(home).await;
+            if self.misbehaviour.get() == Some(ClientMisbehaviour::StopMidway) && rng.random_bool(0.1) {
+                self.stop_midway(preferred).await;
                 continue;
             }
-            let lane = [Lane::Safe, Lane::Unsafe, Lane::Keyed][rng.random_range(0..3)];
-            // A close that crosses a request is followed by one more request, on a new connection.
+            let class = [Class::Idempotent, Class::NonIdempotent, Class::Keyed][rng.random_range(0..3)];
+            // A request that crosses the close of its connection is sent once more, on a new connection.
             for _ in 0..2 {
-                let (again, conn) = self.one(home, kept.take(), lane, &mut rng).await;
-                kept = conn;
-                if !again {
+                let (is_retried, conn) =
+                    self.send_request(preferred, idle_connection.take(), class, &mut rng).await;
+                idle_connection = conn;
+                if !is_retried {
                     break;
                 }
             }
         }
     }
 
-    /// How long a client waits before its next request.
+    /// The pause before the next request.
     fn pause(&self, rng: &mut SmallRng) -> Duration {
-        let rests = self.manner.get() == Some(Manner::Rest) && rng.random_bool(0.5);
-        Duration::from_millis(rng.random_range(if rests { REST_MS } else { 1..=PAUSE_MS }))
+        let is_long = self.misbehaviour.get() == Some(ClientMisbehaviour::LongPauses) && rng.random_bool(0.5);
+        Duration::from_millis(rng.random_range(if is_long { LONG_PAUSE_MS } else { 1..=MAX_PAUSE_MS }))
     }
 
-    /// One request; whether it is to be made again, and the connection if it is kept.
-    async fn one(
+    /// Makes one request; returns whether it is to be sent once more, and the connection if it stays open.
+    async fn send_request(
         &self,
-        home: usize,
-        kept: Option<Kept>,
-        lane: Lane,
+        preferred: usize,
+        idle_connection: Option<IdleConnection>,
+        class: Class,
         rng: &mut SmallRng,
-    ) -> (bool, Option<Kept>) {
-        let idle_for = kept.as_ref().map(|kept| kept.2.elapsed().as_secs_f64());
-        let (proxy, mut conn) = match kept {
+    ) -> (bool, Option<IdleConnection>) {
+        let idle_for = idle_connection.as_ref().map(|connection| connection.2.elapsed().as_secs_f64());
+        let (proxy, mut conn) = match idle_connection {
             Some((proxy, conn, _)) => (proxy, conn),
-            None => match self.connect(home).await {
+            None => match self.connect(preferred).await {
                 Some(new) => new,
                 None => {
                     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -126,87 +128,88 @@
                 }
             },
         };
-        let (id, budget) = (self.id(), rng.random_range(0.4..=1.0) * self.deadline);
-        let text = self.text(id, lane, budget);
+        let (id, budget) = (self.next_id(), rng.random_range(0.4..=1.0) * self.deadline);
+        let text = self.request_text(id, class, budget);
         if !self.write(&mut conn, &text, rng).await {
-            // Not written whole: it was never taken.
+            // An incompletely written request was never accepted.
             return (true, None);
         }
-        let sent = Instant::now();
-        let leaves = self.manner.get() == Some(Manner::Leave) && rng.random_bool(0.3)
-            || self.manner.get() == Some(Manner::Pipeline) && rng.random_bool(0.1);
-        let patience = if leaves {
+        let sent_at = Instant::now();
+        let leaves_early = self.misbehaviour.get() == Some(ClientMisbehaviour::Leave) && rng.random_bool(0.3)
+            || self.misbehaviour.get() == Some(ClientMisbehaviour::Pipeline) && rng.random_bool(0.1);
+        let max_wait = if leaves_early {
             Duration::from_millis(rng.random_range(0..30))
         } else {
-            Duration::from_secs_f64(budget) + GRACE
+            Duration::from_secs_f64(budget) + ANSWER_GRACE
         };
-        if self.manner.get() == Some(Manner::Pipeline) && conn.write(b"G").await.is_err() {
+        if self.misbehaviour.get() == Some(ClientMisbehaviour::Pipeline) && conn.write(b"G").await.is_err() {
             return (true, None);
         }
-        let read = tokio::time::timeout(patience, conn.read()).await;
-        let pipelined = self.manner.get() == Some(Manner::Pipeline);
-        let end = match &read {
+        let read_result = tokio::time::timeout(max_wait, conn.read()).await;
+        let pipelined = self.misbehaviour.get() == Some(ClientMisbehaviour::Pipeline);
+        let outcome = match &read_result {
             Ok(Ok(answer)) => {
-                let own = answer.status() != 200 || answer.body == format!("{id:016x}").as_bytes();
-                End::Answered { status: answer.status(), own }
+                let is_own_body = answer.status() != 200 || answer.body == format!("{id:016x}").as_bytes();
+                Outcome::Answered { status: answer.status(), is_own_body }
             }
-            Ok(Err(ReadError::Closed)) => End::Closed,
-            Ok(Err(_)) if conn.is_clean() => End::Closed,
-            Ok(Err(_)) => End::Cut,
-            Err(_) if leaves => End::Given,
-            Err(_) => End::Silent,
+            Ok(Err(ReadError::Closed)) => Outcome::Closed,
+            Ok(Err(_)) if conn.is_clean() => Outcome::Closed,
+            Ok(Err(_)) => Outcome::Truncated,
+            Err(_) if leaves_early => Outcome::Abandoned,
+            Err(_) => Outcome::TimedOut,
         };
-        let ended = Instant::now();
-        if end == End::Given {
+        let ended_at = Instant::now();
+        if outcome == Outcome::Abandoned {
             drop(conn);
-            open(&self.ledger).left.push((id, Instant::now()));
-            self.note(ClientRequest { id, proxy, lane, sent, budget, idle_for, end, ended });
+            lock_ledger(&self.ledger).client_departures.push((id, Instant::now()));
+            self.record(ClientRequest { id, proxy, class, sent_at, budget, idle_for, outcome, ended_at });
             return (false, None);
         }
-        self.note(ClientRequest { id, proxy, lane, sent, budget, idle_for, end, ended });
-        let keeps = matches!(&read, Ok(Ok(answer)) if !answer.closes()) && !pipelined && conn.is_clean();
-        (end == End::Closed && idle_for.is_some(), keeps.then_some((proxy, conn, ended)))
+        self.record(ClientRequest { id, proxy, class, sent_at, budget, idle_for, outcome, ended_at });
+        let is_reusable =
+            matches!(&read_result, Ok(Ok(answer)) if !answer.closes()) && !pipelined && conn.is_clean();
+        (outcome == Outcome::Closed && idle_for.is_some(), is_reusable.then_some((proxy, conn, ended_at)))
     }
 
-    fn note(&self, one: ClientRequest) {
-        open(&self.ledger).requests.push(one);
+    fn record(&self, request: ClientRequest) {
+        lock_ledger(&self.ledger).requests.push(request);
     }
 
-    async fn connect(&self, home: usize) -> Option<(usize, Conn)> {
-        let proxy = self.front.pick(home)?;
+    async fn connect(&self, preferred: usize) -> Option<(usize, Conn)> {
+        let proxy = self.front.pick(preferred)?;
         let address = *self.front.addresses.borrow().get(proxy)?;
-        let connecting = tokio::time::timeout(Duration::from_secs(3), TcpStream::connect(address));
-        let stream = connecting.await.ok()?.ok()?;
+        let connect = tokio::time::timeout(Duration::from_secs(3), TcpStream::connect(address));
+        let stream = connect.await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
         Some((proxy, Conn::new(stream)))
     }
 
     async fn write(&self, conn: &mut Conn, text: &[u8], rng: &mut SmallRng) -> bool {
-        if self.manner.get() != Some(Manner::Pieces) {
+        if self.misbehaviour.get() != Some(ClientMisbehaviour::Pieces) {
             return conn.write(text).await.is_ok();
         }
-        let cut = rng.random_range(1..text.len());
-        if conn.write(&text[..cut]).await.is_err() {
+        let split_at = rng.random_range(1..text.len());
+        if conn.write(&text[..split_at]).await.is_err() {
             return false;
         }
         tokio::time::sleep(Duration::from_millis(rng.random_range(1..80))).await;
-        conn.write(&text[cut..]).await.is_ok()
+        conn.write(&text[split_at..]).await.is_ok()
     }
 
-    /// Sends a part of a request and stays, until the proxy ends it.
-    async fn stop_midway(&self, home: usize) {
-        let Some(proxy) = self.front.pick(home) else { return };
+    /// Sends half of a request and waits until the proxy answers or ends the connection.
+    async fn stop_midway(&self, preferred: usize) {
+        let Some(proxy) = self.front.pick(preferred) else { return };
         let Some(address) = self.front.addresses.borrow().get(proxy).copied() else { return };
         let Ok(mut stream) = TcpStream::connect(address).await else { return };
-        let connected = Instant::now();
-        let text = self.text(self.id(), Lane::Unsafe, self.deadline);
+        let connected_at = Instant::now();
+        let text = self.request_text(self.next_id(), Class::NonIdempotent, self.deadline);
         let part = &text[..text.len() / 2];
         if tokio::io::AsyncWriteExt::write_all(&mut stream, part).await.is_err() {
             return;
         }
-        let mut piece = [0; 256];
-        let ended = tokio::time::timeout(BAD_PEER_WAITS, stream.read(&mut piece)).await;
-        let ended = ended.ok().map(|_| Instant::now());
-        open(&self.ledger).bad_peers.push(BadPeer { proxy, connected, ended });
+        let mut buffer = [0; 256];
+        let read_result = tokio::time::timeout(STALLED_PEER_WAIT, stream.read(&mut buffer)).await;
+        let ended_at = read_result.ok().map(|_| Instant::now());
+        lock_ledger(&self.ledger).stalled_peers.push(StalledPeer { proxy, connected_at, ended_at });
     }
 }
--- a/testbed/src/soak/discovery.rs
+++ b/testbed/src/soak/discovery.rs
@@ -1,6 +1,6 @@
-//! The soak's discovery: an agent for each proxy, over one list, that may fall silent, end its watches and move.
+//! The soak's discovery: one list, served by one agent for each proxy. Agents may stop answering, end watches and move.
 
-use super::ledger::{Shared, Span, open};
+use super::ledger::{SharedLedger, Span, lock_ledger};
 use crate::http::{Conn, answer};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -10,17 +10,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// How long the old address of a discovery that has moved keeps its connections open.
-const MOVED_CLOSE: Duration = Duration::from_millis(1500);
+/// How long the old address of an agent that has moved keeps its connections open.
+const RETIRED_CLOSE_DELAY: Duration = Duration::from_millis(1500);
 
-/// One backend as listed.
+/// A backend as it is listed.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Where it is.
+    /// The backend's address.
     pub address: SocketAddr,
     /// `SERVING`, `DRAINING` or `DELETED`.
     pub lifecycle: &'static str,
-    /// When it started, as Unix time in milliseconds; 0: long ago.
+    /// When it started, as Unix time in milliseconds; 0 for long ago.
     pub started_ms: f64,
 }
 
@@ -28,26 +28,26 @@
 pub struct Discovery {
     entries: RefCell<Vec<Entry>>,
     generation: watch::Sender<u64>,
-    silent: Cell<bool>,
-    /// Goes up when all watches end.
+    is_silent: Cell<bool>,
+    /// Incremented to end all watches.
     resets: watch::Sender<u64>,
-    ledger: Shared,
+    ledger: SharedLedger,
 }
 
-/// One address of a proxy's agent.
+/// The agent of a proxy at one address.
 pub struct Agent {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    gone: Rc<Cell<bool>>,
+    is_retired: Rc<Cell<bool>>,
 }
 
 impl Discovery {
-    /// A discovery with this list at version 1.
-    pub fn new(entries: Vec<Entry>, ledger: Shared) -> Rc<Self> {
+    /// A discovery with these entries, at generation 1.
+    pub fn new(entries: Vec<Entry>, ledger: SharedLedger) -> Rc<Self> {
         Rc::new(Self {
             entries: RefCell::new(entries),
             generation: watch::channel(1).0,
-            silent: Cell::new(false),
+            is_silent: Cell::new(false),
             resets: watch::channel(0).0,
             ledger,
         })
@@ -56,32 +56,36 @@
     /// Starts an agent for a proxy.
     ///
     /// # Errors
-    /// Where no port can be had.
-    pub async fn agent(self: &Rc<Self>, proxy: usize) -> std::io::Result<Agent> {
+    /// The system's, where no port is available.
+    pub async fn start_agent(self: &Rc<Self>, proxy: usize) -> std::io::Result<Agent> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (address, gone) = (listener.local_addr()?, Rc::new(Cell::new(false)));
-        let (serving, is_gone) = (self.clone(), gone.clone());
+        let (address, is_retired) = (listener.local_addr()?, Rc::new(Cell::new(false)));
+        let (serving, retired_flag) = (self.clone(), is_retired.clone());
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                if is_gone.get() {
-                    return; // the listener goes, and new connections are refused
+                if retired_flag.get() {
+                    return; // the listener is dropped, and new connections are refused
                 }
-                tokio::task::spawn_local(serving.clone().serve(stream, proxy, is_gone.clone()));
+                tokio::task::spawn_local(serving.clone().serve_connection(
+                    stream,
+                    proxy,
+                    retired_flag.clone(),
+                ));
             }
         });
-        Ok(Agent { address, gone })
+        Ok(Agent { address, is_retired })
     }
 
-    /// An agent's address is given up: it takes no new connection, and closes its open ones after a while.
-    pub fn leave(&self, agent: &Agent) {
-        let gone = agent.gone.clone();
+    /// Retires the address of an agent: after a delay it accepts no new connections, and closes open ones.
+    pub fn retire(&self, agent: &Agent) {
+        let is_retired = agent.is_retired.clone();
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(MOVED_CLOSE).await;
-            gone.set(true);
+            tokio::time::sleep(RETIRED_CLOSE_DELAY).await;
+            is_retired.set(true);
         });
     }
 
-    /// Changes one entry; the new version.
+    /// Changes one entry, and returns the new generation.
     pub fn change(&self, backend: usize, change: impl FnOnce(&mut Entry)) -> u64 {
         if let Some(entry) = self.entries.borrow_mut().get_mut(backend) {
             change(entry);
@@ -90,20 +94,24 @@
         *self.generation.borrow()
     }
 
-    /// Silent from now on, or not.
-    pub fn set_silent(&self, silent: bool) {
-        self.silent.set(silent);
-        self.resets.send_modify(|resets| *resets += u64::from(!silent));
+    /// Stops answering, or ends all watches and answers again.
+    pub fn set_silent(&self, is_silent: bool) {
+        self.is_silent.set(is_silent);
+        self.resets.send_modify(|resets| *resets += u64::from(!is_silent));
     }
 
     /// Ends all watches.
-    pub fn reset(&self) {
+    pub fn end_watches(&self) {
         self.resets.send_modify(|resets| *resets += 1);
     }
 
-    /// Notes a span in which no proxy of `proxies` could hear.
-    pub fn unheard(&self, proxies: usize, from: Instant, to: Instant) {
-        open(&self.ledger).unheard.extend((0..proxies).map(|proxy| Span { proxy, from, to }));
+    /// Records a span in which discovery did not answer any of `proxies` proxies.
+    pub fn record_outage(&self, proxies: usize, from: Instant, to: Instant) {
+        lock_ledger(&self.ledger).discovery_outages.extend((0..proxies).map(|proxy| Span {
+            proxy,
+            from,
+            to,
+        }));
     }
 
     /// The whole list.
@@ -118,7 +126,7 @@
         json!({"generation": *self.generation.borrow(), "reset": true, "instances": listed.collect::<Vec<_>>()})
     }
 
-    async fn serve(self: Rc<Self>, stream: TcpStream, proxy: usize, gone: Rc<Cell<bool>>) {
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream, proxy: usize, is_retired: Rc<Cell<bool>>) {
         let mut conn = Conn::new(stream);
         let mut resets = self.resets.subscribe();
         resets.mark_unchanged();
@@ -129,25 +137,25 @@
             };
             let Ok(message) = message else { return };
             let (_, target) = message.method_target();
-            let asked = |name: &str| -> Option<u64> {
+            let query_number = |name: &str| -> Option<u64> {
                 let (_, query) = target.split_once('?')?;
                 query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
             };
-            let (since, wait) = (asked("since").unwrap_or(0), asked("timeout_ms").unwrap_or(0));
-            let news = async {
+            let (since, wait) = (query_number("since").unwrap_or(0), query_number("timeout_ms").unwrap_or(0));
+            let next_answer = async {
                 let mut generation = self.generation.subscribe();
                 let newer = generation.wait_for(|now| *now > since);
-                // An answer without news says just that.
+                // After the time-out, the answer is the unchanged list.
                 let _ = tokio::time::timeout(Duration::from_millis(wait), newer).await;
-                while self.silent.get() {
+                while self.is_silent.get() {
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
             };
             tokio::select! {
-                () = news => {}
+                () = next_answer => {}
                 _ = resets.changed() => return,
             }
-            if gone.get() {
+            if is_retired.get() {
                 return;
             }
             let list = self.list();
@@ -156,7 +164,7 @@
                 return;
             }
             let generation = list["generation"].as_u64().unwrap_or(0);
-            if let Some(notified) = open(&self.ledger).notified.get_mut(proxy) {
+            if let Some(notified) = lock_ledger(&self.ledger).notified.get_mut(proxy) {
                 notified.push((generation, Instant::now()));
             }
         }
--- a/testbed/src/soak/inject.rs
+++ b/testbed/src/soak/inject.rs
@@ -1,29 +1,29 @@
-//! Makes the faults of a plan happen, and lifts them.
+//! Injects the faults of a plan, and lifts them.
 
-use super::ledger::{ColdStart, Drain, Span, open};
-use super::list_service::Writes;
-use super::plan::{Fault, Kind};
+use super::ledger::{ColdStart, Drain, Span, lock_ledger};
+use super::list_service::RegistrationWriter;
+use super::plan::{Fault, FaultKind};
 use super::signals::Suspension;
-use super::stage::{Stage, lock};
+use super::stage::{Harness, lock};
 use super::world::{World, world};
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long a connection of a crowd may take.
+/// How long opening a connection of a crowd may take.
 const CROWD_CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// How often a crowd opens the connections anew that were closed.
+/// The interval at which a crowd reopens connections that were closed.
 const CROWD_INTERVAL: Duration = Duration::from_millis(20);
-/// A proxy may take this long to notice that a crowd has left.
-const CROWD_AFTERMATH: Duration = Duration::from_millis(200);
+/// How long a proxy may take to notice that a crowd has left.
+const CROWD_LEAVE_TOLERANCE: Duration = Duration::from_millis(200);
 
 fn unix_ms() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0
 }
 
-impl Stage {
-    /// A list-service node whose disk fails while it takes writes.
-    fn disk(&self, rule: &str, fault: &Fault) {
+impl Harness {
+    /// Runs a list-service node whose disk fails during registrations.
+    fn fail_disk(&self, rule: &str, fault: &Fault) {
         let data = self.scratch.path().join("node");
         let config = format!("listen = \"127.0.0.1:0\"\ndata_dir = \"{}\"\n", data.display());
         let (from, to) = ((fault.at * 1e3) as u64, ((fault.at + fault.length) * 1e3) as u64);
@@ -34,101 +34,103 @@
         };
         let node = match start(vec![format!("{rule}:{from}-{to}")]) {
             Ok(node) => node,
-            Err(error) => return self.broken(format!("the list service does not start: {error}")),
+            Err(error) => return self.report_violation(format!("the list service did not start: {error}")),
         };
         let address = node.address();
         *lock(&self.node) = Some(node);
         let ledger = self.ledger.clone();
-        self.looped.spawn(move || async move {
+        self.event_loop.spawn(move || async move {
             let Some(world) = world() else { return };
-            let writes = Writes::new(address, ledger);
-            *world.writes.borrow_mut() = Some(writes.clone());
-            writes.play().await;
+            let writer = RegistrationWriter::new(address, ledger);
+            *world.writer.borrow_mut() = Some(writer.clone());
+            writer.run().await;
         });
-        let works_at = self.start + Duration::from_millis(to);
-        while Instant::now() < works_at {
+        let recovery_at = self.start + Duration::from_millis(to);
+        while Instant::now() < recovery_at {
             let ended = lock(&self.node).as_mut().and_then(|node| node.wait_exit(Duration::from_millis(1)));
             if ended.is_some() {
-                // Killed in the middle of a write: it starts again on what its disk holds.
+                // The fault killed it in the middle of a write: it restarts with the data on its disk.
                 match start(Vec::new()) {
                     Ok(node) => {
                         let address = node.address();
                         *lock(&self.node) = Some(node);
-                        self.looped.spawn(move || async move {
-                            let writes = world().and_then(|world| world.writes.borrow().clone());
-                            writes.iter().for_each(|writes| writes.address.set(address));
+                        self.event_loop.spawn(move || async move {
+                            let writer = world().and_then(|world| world.writer.borrow().clone());
+                            writer.iter().for_each(|writer| writer.address.set(address));
                         });
                     }
                     Err(error) => {
-                        return self.broken(format!("the list service does not start again: {error}"));
+                        return self.report_violation(format!("the list service did not restart: {error}"));
                     }
                 }
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        self.looped.spawn(move || async move {
-            let writes = world().and_then(|world| world.writes.borrow().clone());
-            writes.iter().for_each(|writes| writes.works_at.set(Some(Instant::now())));
+        self.event_loop.spawn(move || async move {
+            let writer = world().and_then(|world| world.writer.borrow().clone());
+            writer.iter().for_each(|writer| writer.disk_recovered_at.set(Some(Instant::now())));
         });
     }
 
-    /// Makes one fault happen, and lifts it.
+    /// Injects one fault, and lifts it.
     pub(super) fn inject(&self, fault: &Fault) {
         let length = Duration::from_secs_f64(fault.length);
         match fault.kind.clone() {
-            Kind::Stop { proxy, suspended_after, suspended_for, before, after } => {
+            FaultKind::Stop { proxy, suspended_after, suspended_for, before, after } => {
                 let suspension = Suspension { after: suspended_after, length: suspended_for };
                 self.stop(proxy, suspension, &before, &after);
             }
-            Kind::Crowd { proxy, connections } => self.crowd(proxy, connections, length),
-            Kind::Kill { proxy } => self.kill(proxy),
-            Kind::Suspend { proxy } => self.suspend_and_resume(proxy, fault.length),
-            Kind::Reload { proxy } => self.reload(proxy),
-            Kind::DiscoveryDown => {
+            FaultKind::Crowd { proxy, connections } => self.crowd(proxy, connections, length),
+            FaultKind::Kill { proxy } => self.kill(proxy),
+            FaultKind::Suspend { proxy } => self.suspend_and_resume(proxy, fault.length),
+            FaultKind::Reload { proxy } => self.reload(proxy),
+            FaultKind::DiscoveryDown => {
                 let from = Instant::now();
                 self.on_world(|world| world.discovery.set_silent(true));
                 std::thread::sleep(length);
                 let proxies = self.plan.proxies;
                 self.on_world(move |world| {
-                    world.discovery.unheard(proxies, from, Instant::now());
+                    world.discovery.record_outage(proxies, from, Instant::now());
                     world.discovery.set_silent(false);
                 });
             }
-            Kind::DiscoveryResets => self.on_world(|world| world.discovery.reset()),
-            Kind::Drain { backend, count } => {
-                self.each(backend, count, drain);
+            FaultKind::DiscoveryResets => self.on_world(|world| world.discovery.end_watches()),
+            FaultKind::Drain { backend, count } => {
+                self.for_backends(backend, count, drain);
                 std::thread::sleep(length);
-                self.each(backend, count, |world, n| {
+                self.for_backends(backend, count, |world, n| {
                     world.discovery.change(n, |entry| entry.lifecycle = "DELETED");
                 });
             }
-            Kind::ColdStart { backend } | Kind::WallClock { backend, .. } => {
-                self.each(backend, 1, cold_start);
+            FaultKind::ColdStart { backend } | FaultKind::WallClock { backend, .. } => {
+                self.for_backends(backend, 1, cold_start);
             }
-            Kind::Backends { backend, count, how } => {
-                self.each(backend, count, move |world, n| world.backends[n].behave(Some(how)));
+            FaultKind::Backends { backend, count, misbehaviour } => {
+                self.for_backends(backend, count, move |world, n| {
+                    world.backends[n].set_misbehaviour(Some(misbehaviour));
+                });
                 std::thread::sleep(length);
-                self.each(backend, count, |world, n| world.backends[n].behave(None));
+                self.for_backends(backend, count, |world, n| world.backends[n].set_misbehaviour(None));
             }
-            Kind::Clients { how } => {
-                self.on_world(move |world| world.clients.manner.set(Some(how)));
+            FaultKind::Clients { misbehaviour } => {
+                self.on_world(move |world| world.clients.misbehaviour.set(Some(misbehaviour)));
                 std::thread::sleep(length);
-                self.on_world(|world| world.clients.manner.set(None));
+                self.on_world(|world| world.clients.misbehaviour.set(None));
             }
-            Kind::Disk { rule } => self.disk(&rule, fault),
-            Kind::Calls { .. } => {} // the preload library keeps its own time
+            FaultKind::Disk { rule } => self.fail_disk(&rule, fault),
+            FaultKind::SystemCalls { .. } => {} // the preload library applies its rules by itself
         }
     }
 
-    /// Acts on `count` backends from one on, but never on the last one left.
-    fn each(&self, first: usize, count: usize, act: impl Fn(&World, usize) + Send + 'static) {
+    /// Runs `act` for `count` backends, beginning at `first`, but for fewer than all backends.
+    fn for_backends(&self, first: usize, count: usize, act: impl Fn(&World, usize) + Send + 'static) {
         let backends = self.plan.backends;
         self.on_world(move |world| {
             (0..count.min(backends - 1)).for_each(|n| act(world, (first + n) % backends));
         });
     }
 
-    /// Opens idle connections to a proxy, and keeps them for `length`; one that is closed is opened again.
+    /// Opens idle connections to a proxy and keeps them open for `length`; one that is closed is reopened.
     fn crowd(&self, proxy: usize, connections: usize, length: Duration) {
         let address = lock(&self.addresses)[proxy];
         let from = Instant::now();
@@ -144,24 +146,33 @@
             std::thread::sleep(CROWD_INTERVAL);
         }
         drop(open_streams);
-        open(&self.ledger).crowded.push(Span { proxy, from, to: Instant::now() + CROWD_AFTERMATH });
+        lock_ledger(&self.ledger).crowded.push(Span {
+            proxy,
+            from,
+            to: Instant::now() + CROWD_LEAVE_TOLERANCE,
+        });
     }
 }
 
-/// Whether the other side has not ended a connection that it sends nothing on.
+/// Whether the other side, which sends nothing, has not closed the connection.
 fn is_open(stream: &TcpStream) -> bool {
     let mut stream = stream;
     matches!(stream.read(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
 fn drain(world: &World, backend: usize) {
-    world.backends[backend].drain(true);
+    world.backends[backend].set_draining(true);
     let generation = world.discovery.change(backend, |entry| entry.lifecycle = "DRAINING");
-    open(&world.ledger).drains.push(Drain { backend, generation, at: Instant::now(), until: None });
+    lock_ledger(&world.ledger).drains.push(Drain {
+        backend,
+        generation,
+        changed_at: Instant::now(),
+        restored_at: None,
+    });
 }
 
 fn cold_start(world: &World, backend: usize) {
-    let at = Instant::now();
+    let started_at = Instant::now();
     let generation = world.discovery.change(backend, |entry| entry.started_ms = unix_ms());
-    open(&world.ledger).cold_starts.push(ColdStart { backend, generation, at });
+    lock_ledger(&world.ledger).cold_starts.push(ColdStart { backend, generation, started_at });
 }
--- a/testbed/src/soak/ledger.rs
+++ b/testbed/src/soak/ledger.rs
@@ -1,25 +1,25 @@
-//! What the parties of a play have seen, by request id, for the oracle to judge at the end.
+//! What clients, backends and discovery observed during a run, for the oracle to check at the end.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-/// What repeating a request would do.
+/// The class of a request, by the effect of repeating it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lane {
-    /// Nothing.
-    Safe,
-    /// It would happen again.
-    Unsafe,
-    /// It is dropped within the window.
+pub enum Class {
+    /// Repeating it has no effect.
+    Idempotent,
+    /// Repeating it takes effect again.
+    NonIdempotent,
+    /// It has an idempotency key: a repetition within the window is dropped.
     Keyed,
 }
 
-impl Lane {
-    /// Its class's name.
+impl Class {
+    /// The name of the class in the settings.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Safe => "status-check",
-            Self::Unsafe => "send-sms",
+            Self::Idempotent => "status-check",
+            Self::NonIdempotent => "send-sms",
             Self::Keyed => "send-batch",
         }
     }
@@ -27,103 +27,103 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// With a whole answer; `own`: a served one that is this request's own, or one that is not served.
+pub enum Outcome {
+    /// It got a complete answer.
     Answered {
-        /// The status.
+        /// The status of the answer.
         status: u16,
-        /// Whether the body is this request's.
-        own: bool,
+        /// Whether the body is that of this request; true as well where the status is not 200.
+        is_own_body: bool,
     },
-    /// Its connection was closed or reset before any of an answer.
+    /// Its connection was closed or reset before the first byte of an answer.
     Closed,
-    /// Its answer broke off.
-    Cut,
-    /// Nothing came in its time.
-    Silent,
-    /// No connection came up.
+    /// Its answer was truncated.
+    Truncated,
+    /// No answer came in time.
+    TimedOut,
+    /// No connection could be opened.
     Unreachable,
-    /// Its client left, or never sent it whole.
-    Given,
+    /// Its client left, or never sent it completely.
+    Abandoned,
 }
 
-/// One request of a client, as it ended.
+/// A request of a client, and how it ended.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Its id.
+    /// The request's id.
     pub id: u64,
-    /// The proxy that it went to.
+    /// The proxy that it was sent to.
     pub proxy: usize,
     /// Its class.
-    pub lane: Lane,
+    pub class: Class,
     /// When its last byte was written.
-    pub sent: Instant,
-    /// The seconds that it was to wait.
+    pub sent_at: Instant,
+    /// How long its client was to wait for the answer, in seconds.
     pub budget: f64,
-    /// How long the connection had been idle, in seconds, where it had carried others.
+    /// How long the connection had been idle, in seconds; none for the first request on it.
     pub idle_for: Option<f64>,
-    /// How it ended,
-    pub end: End,
-    /// and when.
-    pub ended: Instant,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// When it ended.
+    pub ended_at: Instant,
 }
 
-/// An attempt, as a backend has seen it.
+/// An attempt that a backend received.
 #[derive(Clone, Debug)]
-pub struct Arrival {
+pub struct Attempt {
     /// The request's id.
     pub id: u64,
     /// The backend.
     pub backend: usize,
     /// When its first byte was read.
-    pub began: Instant,
-    /// The seconds that the client will wait, as reported to the backend.
-    pub passed_timeout: f64,
-    /// The backend turned it away: it never ran.
-    pub turned_away: bool,
+    pub started_at: Instant,
+    /// How long the client will still wait, in seconds, as the proxy reported it to the backend.
+    pub remaining_s: f64,
+    /// Whether the backend rejected it, so that it never ran.
+    pub is_rejected: bool,
 }
 
-/// A peer that sends no whole request.
+/// A peer that stops in the middle of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct BadPeer {
-    /// Which proxy it came to.
+pub struct StalledPeer {
+    /// The proxy that it connected to.
     pub proxy: usize,
     /// When it connected.
-    pub connected: Instant,
-    /// When it got an error or an end; none in its time.
-    pub ended: Option<Instant>,
+    pub connected_at: Instant,
+    /// When it got an answer or its connection ended; none if neither came while it waited.
+    pub ended_at: Option<Instant>,
 }
 
-/// A span in which something held for a proxy.
+/// A span of time in which a condition applied to a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Span {
-    /// Which proxy.
+    /// The proxy.
     pub proxy: usize,
-    /// From when.
+    /// The start of the span.
     pub from: Instant,
-    /// To when.
+    /// The end of the span.
     pub to: Instant,
 }
 
 impl Span {
-    /// Seconds that it shares with another span.
+    /// The overlap with another span, in seconds.
     pub fn overlap(&self, from: Instant, to: Instant) -> f64 {
-        let (begin, end) = (self.from.max(from), self.to.min(to));
-        end.saturating_duration_since(begin).as_secs_f64()
+        let (start, end) = (self.from.max(from), self.to.min(to));
+        end.saturating_duration_since(start).as_secs_f64()
     }
 }
 
-/// A change of the list, and the backend that it takes out of service.
+/// A change of the list that takes a backend out of service.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     /// The backend.
     pub backend: usize,
-    /// The list's version with it.
+    /// The generation of the list that contains the change.
     pub generation: u64,
-    /// When discovery had it.
-    pub at: Instant,
-    /// When the backend was taken back into service, if it was.
-    pub until: Option<Instant>,
+    /// When the list was changed.
+    pub changed_at: Instant,
+    /// When the backend was put back into service, if it was.
+    pub restored_at: Option<Instant>,
 }
 
 /// A cold start of a backend.
@@ -131,49 +131,49 @@
 pub struct ColdStart {
     /// The backend.
     pub backend: usize,
-    /// The list's version with it.
+    /// The generation of the list that contains the change.
     pub generation: u64,
-    /// When.
-    pub at: Instant,
+    /// When the backend started.
+    pub started_at: Instant,
 }
 
-/// All that was seen.
+/// Everything that was observed during a run.
 #[derive(Debug, Default)]
 pub struct Ledger {
     /// Requests of clients.
     pub requests: Vec<ClientRequest>,
-    /// When clients left, by id.
-    pub left: Vec<(u64, Instant)>,
-    /// Attempts at backends.
-    pub arrivals: Vec<Arrival>,
-    /// Peers that send no whole request.
-    pub bad_peers: Vec<BadPeer>,
-    /// For each proxy, the versions of the list written to it and when.
+    /// When clients left, with the id of the request that they left.
+    pub client_departures: Vec<(u64, Instant)>,
+    /// Attempts that backends received.
+    pub attempts: Vec<Attempt>,
+    /// Peers that stopped in the middle of a request.
+    pub stalled_peers: Vec<StalledPeer>,
+    /// For each proxy, the generations of the list that were sent to it, and when.
     pub notified: Vec<Vec<(u64, Instant)>>,
-    /// Drains.
+    /// Drains of backends.
     pub drains: Vec<Drain>,
-    /// Cold starts.
+    /// Cold starts of backends.
     pub cold_starts: Vec<ColdStart>,
-    /// Spans in which discovery was silent for a proxy, or it was dead.
-    pub unheard: Vec<Span>,
+    /// Spans in which discovery did not answer a proxy.
+    pub discovery_outages: Vec<Span>,
     /// Spans in which a proxy was suspended.
     pub suspended: Vec<Span>,
-    /// Spans in which idle clients filled a proxy.
+    /// Spans in which idle connections filled a proxy.
     pub crowded: Vec<Span>,
-    /// Spans from a SIGTERM to the process's end.
+    /// Spans from a SIGTERM to the end of the process.
     pub stopped: Vec<Span>,
-    /// Spans from a SIGKILL that nothing announced to the process's end.
+    /// Spans from a SIGKILL without a SIGTERM before it, to the last use of a connection that it closed.
     pub killed: Vec<Span>,
-    /// Answers without a length that came whole, and of them those that reached their client.
+    /// Ids of the requests that a backend answered completely, without a length.
     pub without_length: Vec<u64>,
-    /// What must not be and was seen at once.
-    pub broken: Vec<String>,
+    /// Violations that were found during the run.
+    pub violations: Vec<String>,
 }
 
-/// The ledger, shared by all that write to it.
-pub type Shared = Arc<Mutex<Ledger>>;
+/// The ledger, shared between threads.
+pub type SharedLedger = Arc<Mutex<Ledger>>;
 
-/// The ledger, locked.
-pub fn open(ledger: &Mutex<Ledger>) -> MutexGuard<'_, Ledger> {
+/// Locks the ledger.
+pub fn lock_ledger(ledger: &Mutex<Ledger>) -> MutexGuard<'_, Ledger> {
     ledger.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
--- a/testbed/src/soak/list_service.rs
+++ b/testbed/src/soak/list_service.rs
@@ -1,7 +1,7 @@
-//! A list-service node that takes registrations while its disk fails: what it acknowledges it keeps, and it goes on by
-//! itself.
+//! Registrations at a list-service node whose disk fails: it must keep what it acknowledged, and recover without
+//! intervention.
 
-use super::ledger::{Shared, open};
+use super::ledger::{SharedLedger, lock_ledger};
 use crate::calls::{call_here, registration};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -10,60 +10,62 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How soon after its disk works again a node has to acknowledge writes.
-const RECOVERS: Duration = Duration::from_millis(1500);
+/// How soon after its disk has recovered a node must acknowledge writes.
+const RECOVERY_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A node and what it has acknowledged.
-pub struct Writes {
-    /// Where the node is; it may be killed and started again elsewhere.
+/// Registers backends at a node, and records which registrations the node acknowledged.
+pub struct RegistrationWriter {
+    /// The address of the node; it changes when the node is killed and started again.
     pub address: Cell<SocketAddr>,
-    /// When its disk works again, once that is known.
-    pub works_at: Cell<Option<Instant>>,
-    /// No more are made.
-    pub over: Cell<bool>,
+    /// When its disk recovered, once it has.
+    pub disk_recovered_at: Cell<Option<Instant>>,
+    /// Whether to make no more registrations.
+    pub is_stopped: Cell<bool>,
     acknowledged: RefCell<BTreeSet<String>>,
-    ledger: Shared,
+    ledger: SharedLedger,
 }
 
-impl Writes {
-    /// Writes to the node at `address`.
-    pub fn new(address: SocketAddr, ledger: Shared) -> Rc<Self> {
+impl RegistrationWriter {
+    /// A writer to the node at `address`.
+    pub fn new(address: SocketAddr, ledger: SharedLedger) -> Rc<Self> {
         Rc::new(Self {
             address: Cell::new(address),
-            works_at: Cell::new(None),
-            over: Cell::new(false),
+            disk_recovered_at: Cell::new(None),
+            is_stopped: Cell::new(false),
             acknowledged: RefCell::default(),
             ledger,
         })
     }
 
-    /// Registers one backend after another.
-    pub async fn play(self: Rc<Self>) {
+    /// Registers one backend after another until stopped.
+    pub async fn run(self: Rc<Self>) {
         for n in 0.. {
-            if self.over.get() {
+            if self.is_stopped.get() {
                 return;
             }
             let id = format!("w-{n}");
             let body = registration(&id, SocketAddr::from(([127, 0, 0, 1], 1)), 300_000);
-            let began = Instant::now();
+            let started_at = Instant::now();
             let answer = call_here(self.address.get(), "POST", "/v1/register", &body).await;
             if matches!(answer, Some((200, _))) {
                 self.acknowledged.borrow_mut().insert(id);
-            } else if self.works_at.get().is_some_and(|at| began > at + RECOVERS) {
-                open(&self.ledger).broken.push(format!(
-                    "list service: a write refused {:.1} s after its disk works again: {answer:?}",
-                    self.works_at.get().map_or(0.0, |at| began.duration_since(at).as_secs_f64())
+            } else if self.disk_recovered_at.get().is_some_and(|at| started_at > at + RECOVERY_TIMEOUT) {
+                lock_ledger(&self.ledger).violations.push(format!(
+                    "list service: a write failed {:.1} s after the disk had recovered: {answer:?}",
+                    self.disk_recovered_at
+                        .get()
+                        .map_or(0.0, |at| started_at.duration_since(at).as_secs_f64())
                 ));
             }
             tokio::time::sleep(Duration::from_millis(25)).await;
         }
     }
 
-    /// What was acknowledged and is not listed.
-    pub async fn lost(&self) -> Vec<String> {
+    /// The ids that were acknowledged and are not listed.
+    pub async fn lost_registrations(&self) -> Vec<String> {
         let Some((200, list)) = call_here(self.address.get(), "GET", "/api/targets", &Value::Null).await
         else {
-            return vec!["(the list itself)".into()];
+            return vec!["(the list could not be read)".into()];
         };
         let entries = list["instances"].as_array().cloned().unwrap_or_default();
         let listed: BTreeSet<&str> = entries.iter().filter_map(|e| e["instanceId"].as_str()).collect();
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -1,7 +1,7 @@
-//! A randomized fault soak: real proxies and list-service nodes among backends, clients and a discovery that misbehave,
-//! with two or three faults at a time, judged from outside by what clients, backends and discovery have seen.
+//! A randomized fault soak: real proxies and list-service nodes run among simulated backends, clients and a discovery
+//! that misbehave, with two or three faults at a time. An oracle checks what clients, backends and discovery observed.
 //!
-//! A plan is drawn from a seed and holds all that happens; a plan that fails is shrunk to the faults that it takes.
+//! A plan is drawn from a seed and lists all faults of a run. A plan that fails is shrunk to the faults that it needs.
 
 pub mod backend;
 pub mod client;
--- a/testbed/src/soak/oracle.rs
+++ b/testbed/src/soak/oracle.rs
@@ -1,96 +1,101 @@
-//! Judges a play from outside of the program, by what clients, backends and discovery have seen.
+//! Checks a run from outside of the program, by what clients, backends and discovery observed.
 
-use super::ledger::{Arrival, ClientRequest, Drain, End, Lane, Ledger, Span};
+use super::ledger::{Attempt, Class, ClientRequest, Drain, Ledger, Outcome, Span};
 use super::plan::Plan;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// The settings of the soak's proxies that the rules are figured with, in seconds where they are times.
+/// The settings of the soak's proxies that the checks depend on; times are in seconds.
 pub mod settings {
-    /// Grace of a drain.
+    /// The grace period of a drain.
     pub const DRAIN_GRACE: f64 = 0.25;
-    /// Window of keyed requests.
+    /// The window of the idempotency keys.
     pub const WINDOW: f64 = 3.0;
-    /// A started backend is cold for so long,
+    /// How long a backend is in slow start.
     pub const COLD: f64 = 3.0;
-    /// with this part of its capacity at first,
+    /// The fraction of its capacity that a backend has at the beginning of slow start.
     pub const COLD_SHARE: f64 = 0.1;
-    /// and falls when it gets this multiple of what it can do
+    /// A backend in slow start fails when it receives this multiple of its capacity for `TIP_AFTER`.
     pub const FALL_MULTIPLE: f64 = 3.0;
-    /// in such a time.
+    /// How long the load must exceed that multiple for the backend to fail.
     pub const TIP_AFTER: f64 = 1.0;
 }
 
-/// What may lie between two clocks' readings of one event on a busy machine, in seconds.
-const SLACK: f64 = 0.05;
-/// A proxy counts as notified of a change this long after discovery had it and could be reached.
+/// How far two readings of the clock for one event may differ on a busy machine, in seconds.
+const CLOCK_TOLERANCE: f64 = 0.05;
+/// A proxy counts as notified of a change this long after the change, or after discovery answers again, in seconds.
 const NOTIFICATION_TIMEOUT: f64 = 6.0;
-/// An attempt may begin so long after its client left.
-const LEFT: f64 = 0.1;
-/// A passed deadline may be over what is left by so much.
-const DEADLINE_SLACK: f64 = 0.15;
-/// An answer may come so long after its time.
-const LATE: f64 = 0.5;
-/// A proxy may close a connection that has been idle for so long, less what its client's clock may be off.
-const IDLE_CLOSE: f64 = 1.8;
-/// A peer that sends no whole request is owed an end within this.
-const BAD_PEER: f64 = 3.0;
-/// A warm backend's capacity over the load that the play's backends bear in the mean.
+/// How long after its client left an attempt may still begin, in seconds.
+const CANCEL_TOLERANCE: f64 = 0.1;
+/// How much more than the remaining time a proxy may report to a backend, in seconds.
+const DEADLINE_TOLERANCE: f64 = 0.15;
+/// How long after the end of its budget a request may be answered, in seconds.
+const LATE_ANSWER_TOLERANCE: f64 = 0.5;
+/// How long a client must have seen a connection idle before a proxy may close it, in seconds; the tolerance for the
+/// client's clock is subtracted.
+const MIN_IDLE_TIMEOUT: f64 = 1.8;
+/// How soon a proxy must answer or disconnect a peer that stops in the middle of a request, in seconds.
+const STALLED_PEER_TIMEOUT: f64 = 3.0;
+/// The capacity of a warm backend as a multiple of the mean load of the run's backends.
 const CAPACITY_OVER_LOAD: f64 = 1.5;
-/// A fall counts where more than this part came from proxies that had been notified of the start.
+/// An overloaded cold start counts only if more than this part of the load came from proxies that were notified of it.
 const MIN_NOTIFIED_PART: f64 = 2.0 / 3.0;
-/// Least part of the requests that is served in any play.
-const LEAST_SERVED: f64 = 0.3;
-/// Least part of the mean that a backend gets which is warm again.
-const LEAST_SHARE: f64 = 0.15;
-/// Requests and arrivals under which shares say nothing.
-const MEANINGFUL: usize = 200;
+/// The minimum fraction of requests that must be served in any run.
+const MIN_SERVED_FRACTION: f64 = 0.3;
+/// The minimum load of a backend that is warm again, as a fraction of the mean load.
+const MIN_LOAD_FRACTION: f64 = 0.15;
+/// Fractions of this many requests or fewer are not checked.
+const MAX_UNCHECKED_REQUESTS: usize = 200;
 
-/// A rule that was broken, and how.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Break {
-    /// The rule.
+pub struct Violation {
+    /// The rule that was violated.
     pub rule: &'static str,
-    /// What was seen.
-    pub what: String,
+    /// What was observed.
+    pub description: String,
 }
 
-/// Judges one play that began at `start`.
+/// Checks one run that began at `start`.
 pub struct Oracle<'a> {
     ledger: &'a Ledger,
     plan: &'a Plan,
     start: Instant,
     requests: HashMap<u64, &'a ClientRequest>,
-    arrivals: BTreeMap<u64, Vec<&'a Arrival>>,
+    attempts: BTreeMap<u64, Vec<&'a Attempt>>,
 }
 
 impl<'a> Oracle<'a> {
-    /// An oracle over what was seen.
+    /// An oracle for a plan and the observations of its run.
     pub fn new(plan: &'a Plan, ledger: &'a Ledger, start: Instant) -> Self {
-        let mut arrivals: BTreeMap<u64, Vec<&Arrival>> = BTreeMap::new();
-        for arrival in &ledger.arrivals {
-            arrivals.entry(arrival.id).or_default().push(arrival);
+        let mut attempts: BTreeMap<u64, Vec<&Attempt>> = BTreeMap::new();
+        for attempt in &ledger.attempts {
+            attempts.entry(attempt.id).or_default().push(attempt);
         }
-        let requests = ledger.requests.iter().map(|one| (one.id, one)).collect();
-        Self { ledger, plan, start, requests, arrivals }
+        let requests = ledger.requests.iter().map(|request| (request.id, request)).collect();
+        Self { ledger, plan, start, requests, attempts }
     }
 
-    /// All that was broken.
-    pub fn judge(&self) -> Vec<Break> {
-        let mut broken: Vec<Break> =
-            self.ledger.broken.iter().map(|what| Break { rule: "seen", what: what.clone() }).collect();
-        broken.extend(self.ledger.requests.iter().filter_map(|one| self.lost(one)));
-        broken.extend(self.arrivals.values().filter_map(|of_one| self.run_twice(of_one)));
-        broken.extend(self.ledger.arrivals.iter().filter_map(|arrival| self.deadline(arrival)));
-        broken.extend(self.after_leaving());
-        broken.extend(self.ledger.drains.iter().flat_map(|drain| self.sent_to_draining(drain)));
-        broken.extend(self.bad_peers());
-        broken.extend(self.cold_starts());
-        broken.extend(self.served_too_little());
-        broken
+    /// Returns all violations.
+    pub fn check(&self) -> Vec<Violation> {
+        let mut violations: Vec<Violation> = self
+            .ledger
+            .violations
+            .iter()
+            .map(|description| Violation { rule: "seen", description: description.clone() })
+            .collect();
+        violations.extend(self.ledger.requests.iter().filter_map(|request| self.lost_request(request)));
+        violations.extend(self.attempts.values().filter_map(|attempts| self.duplicate_run(attempts)));
+        violations.extend(self.ledger.attempts.iter().filter_map(|attempt| self.excess_deadline(attempt)));
+        violations.extend(self.attempts_after_departure());
+        violations.extend(self.ledger.drains.iter().flat_map(|drain| self.sent_to_draining(drain)));
+        violations.extend(self.unclosed_peers());
+        violations.extend(self.check_cold_starts());
+        violations.extend(self.too_few_served());
+        violations
     }
 
-    fn at(&self, instant: Instant) -> String {
+    fn format_time(&self, instant: Instant) -> String {
         format!("{:.3} s", instant.saturating_duration_since(self.start).as_secs_f64())
     }
 
@@ -104,94 +109,116 @@
         self.ledger.killed.iter().filter(of_proxy).any(|span| span.from <= to && span.to >= from)
     }
 
-    fn lost(&self, one: &ClientRequest) -> Option<Break> {
-        if one.end == End::Given || self.was_killed(one.proxy, one.sent, one.ended) {
+    fn lost_request(&self, request: &ClientRequest) -> Option<Violation> {
+        if request.outcome == Outcome::Abandoned
+            || self.was_killed(request.proxy, request.sent_at, request.ended_at)
+        {
             return None;
         }
-        let took = one.ended.duration_since(one.sent).as_secs_f64();
-        let allowed = one.budget + LATE + self.suspended_for(one.proxy, one.sent, one.ended) + SLACK;
-        let was_sent_on = self.arrivals.contains_key(&one.id);
-        let why = match one.end {
-            End::Answered { own: false, .. } => "answered with what is not its own",
-            End::Answered { status: 200, .. } if !was_sent_on => "served, and no backend has seen it",
-            End::Answered { .. } if took > allowed => "answered too late",
-            End::Answered { .. } | End::Given | End::Unreachable => return None,
-            End::Closed if !was_sent_on && self.may_have_crossed(one) => return None,
-            End::Closed if was_sent_on => "closed with no answer after it was sent on",
-            End::Closed => "closed with no answer, on a connection that was not to be closed",
-            End::Cut => "its answer broke off",
-            End::Silent => "no answer in its time",
+        let elapsed = request.ended_at.duration_since(request.sent_at).as_secs_f64();
+        let allowed = request.budget
+            + LATE_ANSWER_TOLERANCE
+            + self.suspended_for(request.proxy, request.sent_at, request.ended_at)
+            + CLOCK_TOLERANCE;
+        let was_forwarded = self.attempts.contains_key(&request.id);
+        let reason = match request.outcome {
+            Outcome::Answered { is_own_body: false, .. } => "answered with a body that is not its own",
+            Outcome::Answered { status: 200, .. } if !was_forwarded => {
+                "answered with 200, but no backend received it"
+            }
+            Outcome::Answered { .. } if elapsed > allowed => "answered too late",
+            Outcome::Answered { .. } | Outcome::Abandoned | Outcome::Unreachable => return None,
+            Outcome::Closed if !was_forwarded && self.may_have_crossed(request) => return None,
+            Outcome::Closed if was_forwarded => {
+                "connection closed without an answer after the request was forwarded"
+            }
+            Outcome::Closed => "connection closed without an answer, although it was not to be closed",
+            Outcome::Truncated => "answer truncated",
+            Outcome::TimedOut => "no answer in time",
         };
-        let what = format!(
-            "{:016x} ({}) at proxy {}, sent at {}: {why} after {took:.3} s",
-            one.id,
-            one.lane.name(),
-            one.proxy,
-            self.at(one.sent)
+        let description = format!(
+            "{:016x} ({}) at proxy {}, sent at {}: {reason} after {elapsed:.3} s",
+            request.id,
+            request.class.name(),
+            request.proxy,
+            self.format_time(request.sent_at)
         );
-        Some(Break { rule: "lost", what })
+        Some(Violation { rule: "lost", description })
     }
 
-    /// Whether a close may have crossed a request on a kept connection: the proxy stopped, or it had been idle for long.
-    /// While idle clients fill a proxy it may also shut new connections unread.
-    fn may_have_crossed(&self, one: &ClientRequest) -> bool {
-        let fills = |span: &Span| span.proxy == one.proxy && span.from <= one.ended && span.to >= one.sent;
-        if one.idle_for.is_none() && self.ledger.crowded.iter().any(fills) {
+    /// Whether a proxy may have closed the connection of a request before it read the request: a persistent connection
+    /// because the proxy stopped or the connection was idle for long, a new one while idle connections fill the proxy.
+    fn may_have_crossed(&self, request: &ClientRequest) -> bool {
+        let overlaps = |span: &Span| {
+            span.proxy == request.proxy && span.from <= request.ended_at && span.to >= request.sent_at
+        };
+        if request.idle_for.is_none() && self.ledger.crowded.iter().any(overlaps) {
             return true;
         }
-        let of_proxy = |span: &&Span| span.proxy == one.proxy;
-        let mut stops = self.ledger.stopped.iter().filter(of_proxy);
-        let stops = stops.any(|span| span.from <= one.ended && span.to >= one.sent);
-        one.idle_for.is_some_and(|idle_for| stops || idle_for >= IDLE_CLOSE)
+        let of_proxy = |span: &&Span| span.proxy == request.proxy;
+        let mut stop_spans = self.ledger.stopped.iter().filter(of_proxy);
+        let was_stopped = stop_spans.any(|span| span.from <= request.ended_at && span.to >= request.sent_at);
+        request.idle_for.is_some_and(|idle_for| was_stopped || idle_for >= MIN_IDLE_TIMEOUT)
     }
 
-    fn run_twice(&self, arrivals: &[&Arrival]) -> Option<Break> {
-        let id = arrivals.first()?.id;
-        let may_have_run: Vec<&&Arrival> = arrivals.iter().filter(|arrival| !arrival.turned_away).collect();
-        let lane = self.requests.get(&id).map_or(Lane::Safe, |one| one.lane);
-        let first = may_have_run.iter().map(|arrival| arrival.began).min()?;
-        let window = Duration::from_secs_f64(settings::WINDOW + SLACK);
-        let broken = match lane {
-            Lane::Safe => false,
-            Lane::Unsafe => may_have_run.len() > 1,
-            Lane::Keyed => may_have_run.iter().any(|arrival| arrival.began > first + window),
+    fn duplicate_run(&self, attempts: &[&Attempt]) -> Option<Violation> {
+        let id = attempts.first()?.id;
+        let may_have_run: Vec<&&Attempt> = attempts.iter().filter(|attempt| !attempt.is_rejected).collect();
+        let class = self.requests.get(&id).map_or(Class::Idempotent, |request| request.class);
+        let first = may_have_run.iter().map(|attempt| attempt.started_at).min()?;
+        let window = Duration::from_secs_f64(settings::WINDOW + CLOCK_TOLERANCE);
+        let is_violation = match class {
+            Class::Idempotent => false,
+            Class::NonIdempotent => may_have_run.len() > 1,
+            Class::Keyed => may_have_run.iter().any(|attempt| attempt.started_at > first + window),
         };
-        let what = format!("{id:016x} ({}) came to {} backends", lane.name(), may_have_run.len());
-        broken.then_some(Break { rule: "duplicate", what })
+        let description = format!("{id:016x} ({}) may have run {} times", class.name(), may_have_run.len());
+        is_violation.then_some(Violation { rule: "duplicate", description })
     }
 
-    fn deadline(&self, arrival: &Arrival) -> Option<Break> {
-        let one = self.requests.get(&arrival.id)?;
-        let passed = arrival.began.saturating_duration_since(one.sent).as_secs_f64();
-        let suspended = self.suspended_for(one.proxy, one.sent, arrival.began + Duration::from_millis(1));
-        let over = arrival.passed_timeout - (one.budget - passed);
-        let what = || {
-            format!("{:016x}: told {over:.3} s more than is left, at {}", arrival.id, self.at(arrival.began))
+    fn excess_deadline(&self, attempt: &Attempt) -> Option<Violation> {
+        let request = self.requests.get(&attempt.id)?;
+        let elapsed = attempt.started_at.saturating_duration_since(request.sent_at).as_secs_f64();
+        let suspended =
+            self.suspended_for(request.proxy, request.sent_at, attempt.started_at + Duration::from_millis(1));
+        let excess = attempt.remaining_s - (request.budget - elapsed);
+        let description = || {
+            format!(
+                "{:016x}: reported {excess:.3} s more than the remaining time, at {}",
+                attempt.id,
+                self.format_time(attempt.started_at)
+            )
         };
-        (over > DEADLINE_SLACK + SLACK + suspended).then(|| Break { rule: "deadline", what: what() })
+        (excess > DEADLINE_TOLERANCE + CLOCK_TOLERANCE + suspended)
+            .then(|| Violation { rule: "deadline", description: description() })
     }
 
-    fn after_leaving(&self) -> Vec<Break> {
-        let late = |(id, left): &(u64, Instant)| {
-            let one = self.requests.get(id)?;
-            let of_one = self.arrivals.get(id)?;
-            let last = of_one.iter().map(|arrival| arrival.began).max()?;
-            let by = last.checked_duration_since(*left)?.as_secs_f64();
-            let allowed = LEFT + SLACK + self.suspended_for(one.proxy, *left, last);
-            let what =
-                || format!("{id:016x}: an attempt {by:.3} s after its client left at {}", self.at(*left));
-            (by > allowed).then(|| Break { rule: "lost", what: what() })
+    fn attempts_after_departure(&self) -> Vec<Violation> {
+        let check = |(id, left_at): &(u64, Instant)| {
+            let request = self.requests.get(id)?;
+            let attempts = self.attempts.get(id)?;
+            let last = attempts.iter().map(|attempt| attempt.started_at).max()?;
+            let delay = last.checked_duration_since(*left_at)?.as_secs_f64();
+            let allowed =
+                CANCEL_TOLERANCE + CLOCK_TOLERANCE + self.suspended_for(request.proxy, *left_at, last);
+            let description = || {
+                format!(
+                    "{id:016x}: attempt {delay:.3} s after its client left at {}",
+                    self.format_time(*left_at)
+                )
+            };
+            (delay > allowed).then(|| Violation { rule: "lost", description: description() })
         };
-        self.ledger.left.iter().filter_map(late).collect()
+        self.ledger.client_departures.iter().filter_map(check).collect()
     }
 
     /// When a proxy counts as notified of a change.
     fn notified_at(&self, proxy: usize, drain: &Drain) -> Instant {
-        let written = self.ledger.notified.get(proxy).into_iter().flatten();
-        let written =
-            written.filter(|(generation, _)| *generation >= drain.generation).map(|(_, at)| *at).min();
-        let mut reachable = drain.at;
-        let mut spans: Vec<&Span> = self.ledger.unheard.iter().filter(|span| span.proxy == proxy).collect();
+        let sent = self.ledger.notified.get(proxy).into_iter().flatten();
+        let sent = sent.filter(|(generation, _)| *generation >= drain.generation).map(|(_, at)| *at).min();
+        let mut reachable = drain.changed_at;
+        let mut spans: Vec<&Span> =
+            self.ledger.discovery_outages.iter().filter(|span| span.proxy == proxy).collect();
         spans.sort_by_key(|span| span.from);
         for span in spans {
             if span.from <= reachable && span.to > reachable {
@@ -199,131 +226,158 @@
             }
         }
         let latest = reachable + Duration::from_secs_f64(NOTIFICATION_TIMEOUT);
-        written.map_or(latest, |written| written.min(latest))
+        sent.map_or(latest, |sent| sent.min(latest))
     }
 
-    fn sent_to_draining(&self, drain: &Drain) -> Vec<Break> {
-        let mut broken = Vec::new();
-        for arrival in self.ledger.arrivals.iter().filter(|arrival| arrival.backend == drain.backend) {
-            let Some(one) = self.requests.get(&arrival.id) else { continue };
-            if drain.until.is_some_and(|until| arrival.began >= until) {
+    fn sent_to_draining(&self, drain: &Drain) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        for attempt in self.ledger.attempts.iter().filter(|attempt| attempt.backend == drain.backend) {
+            let Some(request) = self.requests.get(&attempt.id) else { continue };
+            if drain.restored_at.is_some_and(|restored_at| attempt.started_at >= restored_at) {
                 continue;
             }
-            let notified_at = self.notified_at(one.proxy, drain);
-            let Some(late) = arrival.began.checked_duration_since(notified_at) else { continue };
-            let suspended = self.suspended_for(one.proxy, notified_at, arrival.began);
-            if late.as_secs_f64() > settings::DRAIN_GRACE + SLACK + suspended {
-                let what = format!(
-                    "{:016x} from proxy {} to backend {} {:.3} s after the news that it drains, at {}",
-                    arrival.id,
-                    one.proxy,
+            let notified_at = self.notified_at(request.proxy, drain);
+            let Some(delay) = attempt.started_at.checked_duration_since(notified_at) else { continue };
+            let suspended = self.suspended_for(request.proxy, notified_at, attempt.started_at);
+            if delay.as_secs_f64() > settings::DRAIN_GRACE + CLOCK_TOLERANCE + suspended {
+                let description = format!(
+                    "{:016x} from proxy {} to backend {} {:.3} s after it was notified of the drain, at {}",
+                    attempt.id,
+                    request.proxy,
                     drain.backend,
-                    late.as_secs_f64(),
-                    self.at(arrival.began)
+                    delay.as_secs_f64(),
+                    self.format_time(attempt.started_at)
                 );
-                broken.push(Break { rule: "drain", what });
+                violations.push(Violation { rule: "drain", description });
             }
         }
-        broken
+        violations
     }
 
-    fn bad_peers(&self) -> Vec<Break> {
-        let left = |peer: &&super::ledger::BadPeer| {
-            let until = peer.ended.unwrap_or(peer.connected + Duration::from_secs(60));
-            let seen = peer.ended.unwrap_or(peer.connected + Duration::from_secs_f64(BAD_PEER));
-            let suspended = self.suspended_for(peer.proxy, peer.connected, seen);
-            let took = until.duration_since(peer.connected).as_secs_f64();
-            took > BAD_PEER + SLACK + suspended && !self.was_killed(peer.proxy, peer.connected, seen)
+    fn unclosed_peers(&self) -> Vec<Violation> {
+        let is_violation = |peer: &&super::ledger::StalledPeer| {
+            let end_or_never = peer.ended_at.unwrap_or(peer.connected_at + Duration::from_secs(60));
+            let observed_until =
+                peer.ended_at.unwrap_or(peer.connected_at + Duration::from_secs_f64(STALLED_PEER_TIMEOUT));
+            let suspended = self.suspended_for(peer.proxy, peer.connected_at, observed_until);
+            let elapsed = end_or_never.duration_since(peer.connected_at).as_secs_f64();
+            elapsed > STALLED_PEER_TIMEOUT + CLOCK_TOLERANCE + suspended
+                && !self.was_killed(peer.proxy, peer.connected_at, observed_until)
         };
-        let what = |peer: &super::ledger::BadPeer| {
+        let description = |peer: &super::ledger::StalledPeer| {
             format!(
-                "a peer of proxy {} that stopped midway at {} was left",
+                "a peer of proxy {} that stopped in the middle of a request at {} was not disconnected",
                 peer.proxy,
-                self.at(peer.connected)
+                self.format_time(peer.connected_at)
             )
         };
-        let left = self.ledger.bad_peers.iter().filter(left);
-        left.map(|peer| Break { rule: "bad peer", what: what(peer) }).collect()
+        let unclosed = self.ledger.stalled_peers.iter().filter(is_violation);
+        unclosed.map(|peer| Violation { rule: "bad peer", description: description(peer) }).collect()
     }
 
-    /// Requests a second that a backend gets in the mean.
+    /// The mean load of a backend, in attempts per second.
     fn mean_load(&self) -> f64 {
-        self.ledger.arrivals.len() as f64 / self.plan.seconds / self.plan.backends as f64
+        self.ledger.attempts.len() as f64 / self.plan.seconds / self.plan.backends as f64
     }
 
-    fn cold_starts(&self) -> Vec<Break> {
-        let mut broken = Vec::new();
+    fn check_cold_starts(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
         let capacity = CAPACITY_OVER_LOAD * self.mean_load();
         for start in &self.ledger.cold_starts {
-            let since = |at: Instant| Some(at.checked_duration_since(start.at)?.as_secs_f64());
-            let of_backend = |arrival: &&Arrival| arrival.backend == start.backend;
-            // When each came, and whether its proxy had been notified of the start.
-            let came = |arrival: &Arrival| Some((since(arrival.began)?, self.knew(arrival, start)));
+            let since = |at: Instant| Some(at.checked_duration_since(start.started_at)?.as_secs_f64());
+            let of_backend = |attempt: &&Attempt| attempt.backend == start.backend;
+            // When each attempt came, and whether its proxy had been notified of the cold start.
+            let timed =
+                |attempt: &Attempt| Some((since(attempt.started_at)?, self.was_notified(attempt, start)));
             let mut sent: Vec<(f64, bool)> =
-                self.ledger.arrivals.iter().filter(of_backend).filter_map(came).collect();
+                self.ledger.attempts.iter().filter(of_backend).filter_map(timed).collect();
             sent.sort_by(|a, b| a.0.total_cmp(&b.0));
             let times: Vec<f64> = sent.iter().map(|(at, _)| *at).collect();
             let cold = times.iter().filter(|t| **t < settings::COLD - settings::TIP_AFTER);
-            let worst = cold.into_iter().find_map(|from| {
-                let warmth = from / settings::COLD;
-                let ramp = settings::COLD_SHARE + (1.0 - settings::COLD_SHARE) * warmth;
-                let n = settings::FALL_MULTIPLE * ramp * capacity * settings::TIP_AFTER;
-                let budget = if n < 30.0 { n + 3.0 * n.sqrt() + 3.0 } else { n + 2.0 * n.sqrt() + 2.0 };
+            let first_overload = cold.into_iter().find_map(|from| {
+                let progress = from / settings::COLD;
+                let ramp = settings::COLD_SHARE + (1.0 - settings::COLD_SHARE) * progress;
+                let expected = settings::FALL_MULTIPLE * ramp * capacity * settings::TIP_AFTER;
+                let allowed = if expected < 30.0 {
+                    expected + 3.0 * expected.sqrt() + 3.0
+                } else {
+                    expected + 2.0 * expected.sqrt() + 2.0
+                };
                 let window = *from..from + settings::TIP_AFTER;
                 let in_window = sent.iter().filter(|(at, _)| window.contains(at));
-                let got = in_window.clone().count() as f64;
-                let notified = in_window.filter(|(_, knew)| *knew).count() as f64;
-                let is_over = got > budget && notified > MIN_NOTIFIED_PART * got;
+                let received = in_window.clone().count() as f64;
+                let notified = in_window.filter(|(_, was_notified)| *was_notified).count() as f64;
+                let is_over = received > allowed && notified > MIN_NOTIFIED_PART * received;
                 is_over.then(|| {
-                    format!("{got}, {notified} of them notified, where {budget:.0} are taken, {from:.2} s after it")
+                    format!(
+                        "{received} attempts, {notified} of them from notified proxies, where {allowed:.0} \
+                         are allowed, {from:.2} s after it"
+                    )
                 })
             });
-            broken.extend(worst.map(|what| Break {
+            violations.extend(first_overload.map(|description| Violation {
                 rule: "failback",
-                what: format!("backend {} at {}: {what}", start.backend, self.at(start.at)),
+                description: format!(
+                    "backend {} at {}: {description}",
+                    start.backend,
+                    self.format_time(start.started_at)
+                ),
             }));
-            broken.extend(self.starved(start.backend, start.at, &times));
+            violations.extend(self.starved(start.backend, start.started_at, &times));
         }
-        broken
+        violations
     }
 
-    /// Whether the proxy of an attempt had been notified of a cold start by then.
-    fn knew(&self, arrival: &Arrival, start: &super::ledger::ColdStart) -> bool {
-        let notified = self.requests.get(&arrival.id).and_then(|one| self.ledger.notified.get(one.proxy));
+    /// Whether the proxy of an attempt had been notified of a cold start before the attempt.
+    fn was_notified(&self, attempt: &Attempt, start: &super::ledger::ColdStart) -> bool {
+        let notified =
+            self.requests.get(&attempt.id).and_then(|request| self.ledger.notified.get(request.proxy));
         let mut notified = notified.into_iter().flatten();
-        notified.any(|(generation, at)| *generation >= start.generation && *at <= arrival.began)
+        notified.any(|(generation, at)| *generation >= start.generation && *at <= attempt.started_at)
     }
 
-    /// A backend that is warm again and gets next to nothing.
-    fn starved(&self, backend: usize, at: Instant, times: &[f64]) -> Option<Break> {
+    /// Checks that a backend which is warm again receives load.
+    fn starved(&self, backend: usize, started_at: Instant, times: &[f64]) -> Option<Violation> {
         let end = self.start + Duration::from_secs_f64(self.plan.seconds);
         let from = settings::COLD + 1.0;
-        let span = end.saturating_duration_since(at).as_secs_f64() - from;
+        let span = end.saturating_duration_since(started_at).as_secs_f64() - from;
         let disturbed = self.ledger.drains.iter().any(|drain| drain.backend == backend)
-            || self.plan.faults.iter().any(|t| matches!(t.kind, super::plan::Kind::Backends { .. }));
-        let got = times.iter().filter(|t| **t > from).count() as f64;
-        let wanted = LEAST_SHARE * self.mean_load() * span;
-        let is_starved = !disturbed && span > 2.0 && wanted > 20.0 && got < wanted;
-        let what = format!("backend {backend}, warm again, got {got} where {wanted:.0} is little");
-        is_starved.then_some(Break { rule: "starved", what })
+            || self
+                .plan
+                .faults
+                .iter()
+                .any(|fault| matches!(fault.kind, super::plan::FaultKind::Backends { .. }));
+        let received = times.iter().filter(|t| **t > from).count() as f64;
+        let min_received = MIN_LOAD_FRACTION * self.mean_load() * span;
+        let is_starved = !disturbed && span > 2.0 && min_received > 20.0 && received < min_received;
+        let description = format!(
+            "backend {backend}, warm again, received {received} attempts, less than {min_received:.0}"
+        );
+        is_starved.then_some(Violation { rule: "starved", description })
     }
 
-    fn served_too_little(&self) -> Option<Break> {
+    fn too_few_served(&self) -> Option<Violation> {
         let counted: Vec<&ClientRequest> =
-            self.ledger.requests.iter().filter(|one| one.end != End::Given).collect();
-        let served =
-            counted.iter().filter(|one| matches!(one.end, End::Answered { status: 200, .. })).count();
-        let too_little = counted.len() > MEANINGFUL && (served as f64) < LEAST_SERVED * counted.len() as f64;
-        let whole: HashSet<u64> = self.ledger.without_length.iter().copied().collect();
-        let passed = whole.iter().filter(|id| {
-            self.requests.get(id).is_some_and(|one| matches!(one.end, End::Answered { status: 200, .. }))
+            self.ledger.requests.iter().filter(|request| request.outcome != Outcome::Abandoned).collect();
+        let served = counted
+            .iter()
+            .filter(|request| matches!(request.outcome, Outcome::Answered { status: 200, .. }))
+            .count();
+        let too_little = counted.len() > MAX_UNCHECKED_REQUESTS
+            && (served as f64) < MIN_SERVED_FRACTION * counted.len() as f64;
+        let complete: HashSet<u64> = self.ledger.without_length.iter().copied().collect();
+        let forwarded = complete.iter().filter(|id| {
+            self.requests
+                .get(id)
+                .is_some_and(|request| matches!(request.outcome, Outcome::Answered { status: 200, .. }))
         });
-        let passed = passed.count();
-        if whole.len() > MEANINGFUL && passed * 2 < whole.len() {
-            let what = format!("{passed} of {} answers without a length were passed on", whole.len());
-            return Some(Break { rule: "no length", what });
+        let forwarded = forwarded.count();
+        if complete.len() > MAX_UNCHECKED_REQUESTS && forwarded * 2 < complete.len() {
+            let description =
+                format!("{forwarded} of {} answers without a length reached their clients", complete.len());
+            return Some(Violation { rule: "no length", description });
         }
-        let what = format!("only {served} of {} served", counted.len());
-        too_little.then_some(Break { rule: "served", what })
+        let description = format!("only {served} of {} requests served", counted.len());
+        too_little.then_some(Violation { rule: "served", description })
     }
 }
--- a/testbed/src/soak/plan.rs
+++ b/testbed/src/soak/plan.rs
@@ -1,218 +1,226 @@
-//! What happens in one play of the soak, drawn from a seed and kept as a TOML file.
+//! The plan of one run of the soak: drawn from a seed, and stored as a TOML file.
 
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-/// What plans are drawn from: the soak's file.
+/// The ranges that plans are drawn from, as an experiment file gives them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Spec {
-    /// What it is for.
+    /// What the soak is for.
     pub about: String,
-    /// Least and most seconds of a play.
+    /// The shortest and longest duration of a run, in seconds.
     pub seconds: [f64; 2],
-    /// Fewest and most proxies.
+    /// The minimum and maximum number of proxies.
     pub proxies: [usize; 2],
-    /// Fewest and most backends.
+    /// The minimum and maximum number of backends.
     pub backends: [usize; 2],
-    /// Fewest and most clients of each proxy.
+    /// The minimum and maximum number of clients of each proxy.
     pub clients: [usize; 2],
-    /// Fewest and most faults of a play.
+    /// The minimum and maximum number of faults in a run.
     #[serde(rename = "troubles")]
     pub faults: [usize; 2],
 }
 
-/// One play.
+/// The plan of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The seed that it was drawn from, and of all that is drawn while it is played.
+    /// The seed that the plan was drawn from; it also seeds every random choice of the run.
     pub seed: u64,
-    /// How long clients send, in seconds.
+    /// How long clients send requests, in seconds.
     pub seconds: f64,
-    /// Proxies.
+    /// The number of proxies.
     pub proxies: usize,
-    /// Backends.
+    /// The number of backends.
     pub backends: usize,
-    /// Clients of each proxy.
+    /// The number of clients of each proxy.
     pub clients: usize,
     /// The longest deadline of a request, in seconds.
     pub deadline: f64,
-    /// What happens.
+    /// The faults of the run.
     #[serde(rename = "troubles", default)]
     pub faults: Vec<Fault>,
 }
 
-/// One fault.
+/// A fault of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// When it begins, in seconds.
+    /// When it begins, in seconds of the run.
     pub at: f64,
     /// How long it lasts, in seconds.
     pub length: f64,
-    /// What it is.
+    /// The kind of fault.
     #[serde(flatten)]
-    pub kind: Kind,
+    pub kind: FaultKind,
 }
 
-/// What can happen.
+/// The kinds of fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// A proxy is sent SIGTERM, ends, and is started again; meanwhile it may be suspended (SIGSTOP).
     Stop {
-        /// Which.
+        /// The proxy.
         proxy: usize,
-        /// When it is suspended, in seconds behind SIGTERM.
+        /// When it is suspended, in seconds after SIGTERM.
         #[serde(rename = "held_up_after")]
         suspended_after: f64,
-        /// For how long, in seconds.
+        /// How long it is suspended, in seconds.
         #[serde(rename = "held_up")]
         suspended_for: f64,
-        /// Signals that come before SIGTERM.
+        /// Signals that are sent before SIGTERM.
         #[serde(default)]
         before: Vec<SignalStep>,
-        /// Signals that come after it.
+        /// Signals that are sent after SIGTERM.
         #[serde(default)]
         after: Vec<SignalStep>,
     },
-    /// Idle clients open connections to a proxy until it has no room for more, and keep them.
+    /// Idle clients open connections to a proxy and keep them open.
     Crowd {
-        /// Which.
+        /// The proxy.
         proxy: usize,
-        /// How many.
+        /// The number of connections.
         connections: usize,
     },
     /// A proxy is killed and started again.
     Kill {
-        /// Which.
+        /// The proxy.
         proxy: usize,
     },
     /// A proxy is suspended (SIGSTOP) for the length of the fault.
     #[serde(rename = "hold_up")]
     Suspend {
-        /// Which.
+        /// The proxy.
         proxy: usize,
     },
-    /// A proxy's discovery moves (SIGHUP).
+    /// The discovery of a proxy moves to another address (SIGHUP).
     Reload {
-        /// Which.
+        /// The proxy.
         proxy: usize,
     },
-    /// Discovery is silent for all.
+    /// Discovery does not answer any proxy.
     DiscoveryDown,
     /// Discovery ends all watches.
     DiscoveryResets,
-    /// Backends drain, and are gone in the end.
+    /// Backends drain, and are deleted at the end.
     Drain {
-        /// The first of them.
+        /// The first of the backends.
         backend: usize,
-        /// How many.
+        /// The number of backends.
         count: usize,
     },
-    /// A backend starts again, cold.
+    /// A backend restarts in slow start.
     ColdStart {
-        /// Which.
+        /// The backend.
         backend: usize,
     },
     /// Backends misbehave.
     Backends {
-        /// The first of them.
+        /// The first of the backends.
         backend: usize,
-        /// How many.
+        /// The number of backends.
         count: usize,
-        /// How.
-        how: Misbehaviour,
+        /// How they misbehave.
+        #[serde(rename = "how")]
+        misbehaviour: BackendMisbehaviour,
     },
     /// Clients misbehave.
     Clients {
-        /// How.
-        how: Manner,
+        /// How they misbehave.
+        #[serde(rename = "how")]
+        misbehaviour: ClientMisbehaviour,
     },
     /// System calls of a proxy fail.
-    Calls {
-        /// Which.
+    #[serde(rename = "calls")]
+    SystemCalls {
+        /// The proxy.
         proxy: usize,
-        /// How: a rule of the preload library, without its times.
+        /// The rule for the preload library, without its times.
         rule: String,
     },
-    /// The wall clocks of all proxies' machines are wrong while a backend starts again, cold.
+    /// The wall clocks of all proxies are wrong, and a backend restarts in slow start.
     WallClock {
-        /// By how many seconds.
-        by: i64,
-        /// Which backend.
+        /// The offset of the clocks, in seconds.
+        #[serde(rename = "by")]
+        offset_s: i64,
+        /// The backend.
         backend: usize,
     },
     /// A list-service node's disk fails while it takes registrations.
     Disk {
-        /// How: a rule of the preload library, without its times.
+        /// The rule for the preload library, without its times.
         rule: String,
     },
 }
 
-/// One signal of a series.
+/// A signal of a series.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SignalStep {
-    /// Which.
+    /// The signal.
     pub signal: SeriesSignal,
-    /// The seconds until the next one.
+    /// The time until the next signal, in seconds.
     pub gap: f64,
 }
 
-/// A signal that can come in a series.
+/// The signals that a series can contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SeriesSignal {
     /// SIGHUP: discovery may have moved.
     Reload,
-    /// SIGTERM once more.
+    /// Another SIGTERM.
     Terminate,
-    /// SIGSTOP, and SIGCONT after the gap.
+    /// SIGSTOP, then SIGCONT after the gap.
     Suspend,
 }
 
-/// What a backend does wrong.
+/// How a backend misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Misbehaviour {
-    /// It takes requests and says nothing.
+pub enum BackendMisbehaviour {
+    /// It accepts requests and does not answer.
     Hang,
     /// It answers 500.
     Fail,
-    /// It turns requests away.
-    TurnAway,
-    /// It resets connections under requests.
+    /// It rejects requests.
+    #[serde(rename = "turn_away")]
+    Reject,
+    /// It resets the connection of each request.
     Reset,
-    /// It closes connections right behind each answer.
-    CloseBehind,
+    /// It closes the connection immediately after each answer.
+    #[serde(rename = "close_behind")]
+    CloseAfterAnswer,
     /// It forgets idle connections: the next request on one is reset.
     ForgetIdle,
-    /// It answers without a length, and ends the connection behind the answer.
+    /// It answers without a length, and closes the connection after the answer.
     NoLength,
-    /// It answers twice, the second time some milliseconds later.
-    Twice,
+    /// It answers each request twice, the second time some milliseconds later.
+    #[serde(rename = "twice")]
+    AnswerTwice,
 }
 
-/// What clients do wrong.
+/// How clients misbehave.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Manner {
-    /// They send requests in pieces.
+pub enum ClientMisbehaviour {
+    /// They send each request in two pieces.
     Pieces,
-    /// They leave before their answer, many at a time.
+    /// They often leave before the answer.
     Leave,
-    /// They stop in the middle of a request and stay.
+    /// They stop in the middle of a request and keep the connection open.
     StopMidway,
-    /// They send the beginning of the next request behind each, and may leave.
+    /// They send the beginning of the next request right after each request, and may leave before the answer.
     Pipeline,
-    /// They pause for longer between two requests, every other time. Fixed plans alone have it: none is drawn.
-    Rest,
+    /// They pause for longer before every other request on average. Only fixed plans contain it: it is never drawn.
+    #[serde(rename = "rest")]
+    LongPauses,
 }
 
-/// The rules that make a proxy's calls fail.
-const CALL_RULES: [&str; 12] = [
+/// The rules that make system calls of a proxy fail.
+const SYSTEM_CALL_RULES: [&str; 12] = [
     "recv=EINTR@0.02",
     "send=EINTR@0.02",
     "peek=EINTR@0.3",
@@ -229,41 +237,41 @@
 /// The rules that make a disk fail.
 const DISK_RULES: [&str; 5] =
     ["write=ENOSPC@1", "write=EIO@0.3", "sync=EIO@0.5", "write=torn@0.02", "sync=20..200ms@1"];
-/// The part of the faults of proxies that come to the first one.
-const FOCUS: f64 = 0.7;
-/// Most signals of a series before SIGTERM, and after it.
-const MAX_SERIES: usize = 3;
+/// The share of proxy faults that apply to the first proxy.
+const FIRST_PROXY_SHARE: f64 = 0.7;
+/// The maximum number of signals in the series before SIGTERM, and in the one after it.
+const MAX_SERIES_LENGTH: usize = 3;
 /// The longest gap between two signals of a series, in seconds.
-const MAX_GAP: f64 = 0.2;
-/// Connections of a crowd: fewer than a proxy has room for, and more.
-const CROWDS: [usize; 2] = [200, 600];
-/// Steps of the wall clock, in seconds.
-const CLOCK_STEPS: [i64; 4] = [-3600, -7, 7, 3600];
+const MAX_GAP_S: f64 = 0.2;
+/// Connections of a crowd: fewer than a proxy can accept, and more.
+const CROWD_SIZES: [usize; 2] = [200, 600];
+/// Offsets of the wall clock, in seconds.
+const CLOCK_OFFSETS_S: [i64; 4] = [-3600, -7, 7, 3600];
 
 impl Plan {
-    /// Draws a plan.
+    /// Draws the plan of a seed.
     pub fn draw(spec: &Spec, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let number = |rng: &mut SmallRng, [least, most]: [usize; 2]| rng.random_range(least..=most);
+        let draw_count = |rng: &mut SmallRng, [min, max]: [usize; 2]| rng.random_range(min..=max);
         let seconds = rng.random_range(spec.seconds[0]..=spec.seconds[1]);
         let mut plan = Self {
             seed,
             seconds,
-            proxies: number(&mut rng, spec.proxies),
-            backends: number(&mut rng, spec.backends),
-            clients: number(&mut rng, spec.clients),
+            proxies: draw_count(&mut rng, spec.proxies),
+            backends: draw_count(&mut rng, spec.backends),
+            clients: draw_count(&mut rng, spec.clients),
             deadline: *[1.5, 3.0, 6.0].choose(&mut rng).unwrap_or(&3.0),
             faults: Vec::new(),
         };
-        // Two or three overlap: they come together, at times only after all has been quiet for a while.
-        let together = rng.random_range(0.1..0.6) * seconds;
-        for _ in 0..number(&mut rng, spec.faults) {
+        // Faults overlap: all begin within 2.5 s, in some plans only after an undisturbed period.
+        let cluster_start = rng.random_range(0.1..0.6) * seconds;
+        for _ in 0..draw_count(&mut rng, spec.faults) {
             let kind = plan.draw_kind(&mut rng);
-            let at = (together + rng.random_range(0.0..2.5)).min(0.8 * seconds);
+            let at = (cluster_start + rng.random_range(0.0..2.5)).min(0.8 * seconds);
             let length = match &kind {
-                Kind::Suspend { .. } if rng.random_bool(0.5) => rng.random_range(0.02..0.15),
-                Kind::Suspend { .. } => rng.random_range(0.15..0.6),
-                Kind::Calls { .. } => rng.random_range(3.0..8.0),
+                FaultKind::Suspend { .. } if rng.random_bool(0.5) => rng.random_range(0.02..0.15),
+                FaultKind::Suspend { .. } => rng.random_range(0.15..0.6),
+                FaultKind::SystemCalls { .. } => rng.random_range(3.0..8.0),
                 _ => rng.random_range(0.8..4.0),
             };
             plan.faults.push(Fault { at, length, kind });
@@ -271,15 +279,17 @@
         plan
     }
 
-    fn draw_kind(&self, rng: &mut SmallRng) -> Kind {
-        use Misbehaviour::{CloseBehind, Fail, ForgetIdle, Hang, NoLength, Reset, TurnAway, Twice};
-        // Faults of one proxy mostly meet at the same.
-        let proxy = if rng.random_bool(FOCUS) { 0 } else { rng.random_range(0..self.proxies) };
+    fn draw_kind(&self, rng: &mut SmallRng) -> FaultKind {
+        use BackendMisbehaviour::{
+            AnswerTwice, CloseAfterAnswer, Fail, ForgetIdle, Hang, NoLength, Reject, Reset,
+        };
+        // Most faults of proxies apply to the same proxy, so that they overlap there.
+        let proxy = if rng.random_bool(FIRST_PROXY_SHARE) { 0 } else { rng.random_range(0..self.proxies) };
         let backend = rng.random_range(0..self.backends);
-        let some = rng.random_range(1..=(self.backends / 3).max(1));
+        let backend_count = rng.random_range(1..=(self.backends / 3).max(1));
         let rule = |rules: &[&str], rng: &mut SmallRng| rules.choose(rng).copied().unwrap_or_default().into();
         match rng.random_range(0..18) {
-            0 | 1 => Kind::Stop {
+            0 | 1 => FaultKind::Stop {
                 proxy,
                 suspended_after: rng.random_range(0.0..2.0),
                 suspended_for: *[0.0, 0.15, 0.45].choose(rng).unwrap_or(&0.0),
@@ -289,29 +299,43 @@
                     &[SeriesSignal::Reload, SeriesSignal::Terminate, SeriesSignal::Suspend],
                 ),
             },
-            16 | 17 => Kind::Crowd { proxy, connections: *CROWDS.choose(rng).unwrap_or(&CROWDS[0]) },
-            2 => Kind::Kill { proxy },
-            3 => Kind::Suspend { proxy },
-            4 => Kind::Reload { proxy },
-            5 => Kind::DiscoveryDown,
-            6 => Kind::DiscoveryResets,
-            7 => Kind::Drain { backend, count: some },
-            8 => Kind::ColdStart { backend },
+            16 | 17 => {
+                FaultKind::Crowd { proxy, connections: *CROWD_SIZES.choose(rng).unwrap_or(&CROWD_SIZES[0]) }
+            }
+            2 => FaultKind::Kill { proxy },
+            3 => FaultKind::Suspend { proxy },
+            4 => FaultKind::Reload { proxy },
+            5 => FaultKind::DiscoveryDown,
+            6 => FaultKind::DiscoveryResets,
+            7 => FaultKind::Drain { backend, count: backend_count },
+            8 => FaultKind::ColdStart { backend },
             9 | 10 => {
-                let all = [Hang, Fail, TurnAway, Reset, CloseBehind, ForgetIdle, NoLength, Twice];
-                Kind::Backends { backend, count: some, how: *all.choose(rng).unwrap_or(&Hang) }
+                let choices =
+                    [Hang, Fail, Reject, Reset, CloseAfterAnswer, ForgetIdle, NoLength, AnswerTwice];
+                FaultKind::Backends {
+                    backend,
+                    count: backend_count,
+                    misbehaviour: *choices.choose(rng).unwrap_or(&Hang),
+                }
             }
             11 => {
-                let all = [Manner::Pieces, Manner::Leave, Manner::StopMidway, Manner::Pipeline];
-                Kind::Clients { how: *all.choose(rng).unwrap_or(&Manner::Leave) }
+                let choices = [
+                    ClientMisbehaviour::Pieces,
+                    ClientMisbehaviour::Leave,
+                    ClientMisbehaviour::StopMidway,
+                    ClientMisbehaviour::Pipeline,
+                ];
+                FaultKind::Clients {
+                    misbehaviour: *choices.choose(rng).unwrap_or(&ClientMisbehaviour::Leave),
+                }
             }
-            12 | 13 => Kind::Calls { proxy, rule: rule(&CALL_RULES, rng) },
-            14 => Kind::WallClock { by: *CLOCK_STEPS.choose(rng).unwrap_or(&3600), backend },
-            _ => Kind::Disk { rule: rule(&DISK_RULES, rng) },
+            12 | 13 => FaultKind::SystemCalls { proxy, rule: rule(&SYSTEM_CALL_RULES, rng) },
+            14 => FaultKind::WallClock { offset_s: *CLOCK_OFFSETS_S.choose(rng).unwrap_or(&3600), backend },
+            _ => FaultKind::Disk { rule: rule(&DISK_RULES, rng) },
         }
     }
 
-    /// The same without one fault.
+    /// A copy of the plan without one fault.
     pub fn without(&self, fault: usize) -> Self {
         let mut plan = self.clone();
         plan.faults.remove(fault);
@@ -319,12 +343,12 @@
     }
 }
 
-/// Draws the signals of a series, none in one of four.
+/// Draws the signals of a series, which is empty in one case of four.
 fn draw_series(rng: &mut SmallRng, signals: &[SeriesSignal]) -> Vec<SignalStep> {
-    let count = rng.random_range(0..=MAX_SERIES);
+    let count = rng.random_range(0..=MAX_SERIES_LENGTH);
     let step = |rng: &mut SmallRng| {
         let signal = signals.choose(rng).copied().unwrap_or(SeriesSignal::Reload);
-        SignalStep { signal, gap: rng.random_range(0.0..MAX_GAP) }
+        SignalStep { signal, gap: rng.random_range(0.0..MAX_GAP_S) }
     };
     (0..count).map(|_| step(rng)).collect()
 }
--- a/testbed/src/soak/shrink.rs
+++ b/testbed/src/soak/shrink.rs
@@ -1,21 +1,21 @@
-//! Shrinks a plan that fails to the faults that it takes.
+//! Shrinks a plan that fails to the faults that it needs to fail.
 
 use super::plan::Plan;
 
-/// How often a plan without one of its faults is played before that fault counts as needed.
-pub const PLAYS: usize = 2;
+/// How often a plan without one of its faults must pass before the fault counts as needed.
+pub const RUNS_PER_CANDIDATE: usize = 2;
 
-/// Leaves out one fault after another for as long as `fails` says that the plan still does.
+/// Removes each fault without which the plan still fails, according to `fails`.
 pub fn shrink(plan: &Plan, mut fails: impl FnMut(&Plan) -> bool) -> Plan {
-    let mut least = plan.clone();
-    let mut at = 0;
-    while at < least.faults.len() {
-        let shorter = least.without(at);
-        if (0..PLAYS).any(|_| fails(&shorter)) {
-            least = shorter;
+    let mut smallest = plan.clone();
+    let mut index = 0;
+    while index < smallest.faults.len() {
+        let candidate = smallest.without(index);
+        if (0..RUNS_PER_CANDIDATE).any(|_| fails(&candidate)) {
+            smallest = candidate;
         } else {
-            at += 1;
+            index += 1;
         }
     }
-    least
+    smallest
 }
--- a/testbed/src/soak/signals.rs
+++ b/testbed/src/soak/signals.rs
@@ -1,22 +1,22 @@
-//! Signals to the proxies of a play, and their restarts.
+//! Signals to the proxies of a run, and their restarts.
 
-use super::ledger::{Span, open};
+use super::ledger::{Span, lock_ledger};
 use super::plan::{SeriesSignal, SignalStep};
-use super::stage::{Stage, lock};
+use super::stage::{Harness, lock};
 use super::world::world;
 use crate::process::Process;
 use nix::sys::signal::Signal;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// How long after SIGTERM the front goes on with new connections.
-const FRONT_NOTICE: Duration = Duration::from_millis(300);
-/// SIGKILL comes this many seconds after SIGTERM and the longest deadline,
+/// How long after SIGTERM clients still open new connections to a proxy.
+const CLIENT_NOTICE_DELAY: Duration = Duration::from_millis(300);
+/// The time from SIGTERM to SIGKILL beyond the longest deadline, in seconds.
 const KILL_DELAY_S: f64 = 0.7;
-/// which counts as this many seconds at most.
+/// The maximum that the longest deadline adds to the time from SIGTERM to SIGKILL, in seconds.
 const MAX_COUNTED_DEADLINE_S: f64 = 3.0;
 
-/// A client between two requests finds its connection closed by a kill this much later at most: its pause is 60 ms.
+/// How long after a kill a client may still use a connection that the kill closed: clients pause for up to 60 ms.
 const MAX_CLIENT_PAUSE: Duration = Duration::from_millis(100);
 
 /// When a process is suspended after SIGTERM, and for how long, in seconds.
@@ -26,28 +26,28 @@
     pub(super) length: f64,
 }
 
-impl Stage {
+impl Harness {
     fn signal(&self, proxy: usize, signal: Signal) {
         if let Some(process) = &lock(&self.proxies)[proxy] {
             process.signal(signal);
         }
     }
 
-    fn takes(&self, proxy: usize, takes: bool) {
-        self.looped.spawn(move || async move {
+    fn set_in_service(&self, proxy: usize, in_service: bool) {
+        self.event_loop.spawn(move || async move {
             if let Some(world) = world() {
-                world.front.takes.borrow_mut()[proxy] = takes;
+                world.front.in_service.borrow_mut()[proxy] = in_service;
             }
         });
     }
 
     fn restart(&self, proxy: usize) {
         if let Err(error) = self.start_proxy(proxy) {
-            return self.broken(format!("proxy {proxy} does not start again: {error}"));
+            return self.report_violation(format!("proxy {proxy} did not restart: {error}"));
         }
-        match self.ready(proxy) {
-            Some(_) => self.takes(proxy, true),
-            None => self.broken(format!("proxy {proxy} is not ready within 10 s of its start")),
+        match self.wait_until_ready(proxy) {
+            Some(_) => self.set_in_service(proxy, true),
+            None => self.report_violation(format!("proxy {proxy} was not ready within 10 s of its restart")),
         }
     }
 
@@ -56,11 +56,11 @@
         self.signal(proxy, Signal::SIGSTOP);
         std::thread::sleep(Duration::from_secs_f64(length));
         self.signal(proxy, Signal::SIGCONT);
-        open(&self.ledger).suspended.push(Span { proxy, from, to: Instant::now() });
+        lock_ledger(&self.ledger).suspended.push(Span { proxy, from, to: Instant::now() });
     }
 
-    /// Stops a proxy by SIGTERM, among other signals, and starts it again. SIGKILL comes as early as it may; until then
-    /// clients use the connections that stay open.
+    /// Stops a proxy by SIGTERM, with other signals before and after it, and restarts it. SIGKILL is sent as early as is
+    /// allowed; until then clients use the connections that stay open.
     pub(super) fn stop(
         &self,
         proxy: usize,
@@ -75,16 +75,16 @@
         let kill_at = terminated_at + self.kill_delay();
         let mut series: VecDeque<SignalStep> = after.iter().copied().collect();
         let mut next_signal_at = terminated_at;
-        let mut is_noticed = false;
-        let mut is_suspended = suspension.length <= 0.0;
+        let mut is_out_of_service = false;
+        let mut suspension_done = suspension.length <= 0.0;
         let mut ended = None;
         while Instant::now() < kill_at && ended.is_none() {
-            if !is_noticed && terminated_at.elapsed() >= FRONT_NOTICE {
-                self.takes(proxy, false);
-                is_noticed = true;
+            if !is_out_of_service && terminated_at.elapsed() >= CLIENT_NOTICE_DELAY {
+                self.set_in_service(proxy, false);
+                is_out_of_service = true;
             }
-            if !is_suspended && terminated_at.elapsed().as_secs_f64() >= suspension.after {
-                is_suspended = true;
+            if !suspension_done && terminated_at.elapsed().as_secs_f64() >= suspension.after {
+                suspension_done = true;
                 self.suspend(proxy, &process, suspension.length);
             }
             if Instant::now() >= next_signal_at
@@ -95,22 +95,22 @@
             }
             ended = process.wait_exit(Duration::from_millis(10));
         }
-        self.takes(proxy, false);
-        self.note_log(proxy, &process);
+        self.set_in_service(proxy, false);
+        self.record_logged_violations(proxy, &process);
         process.kill();
-        open(&self.ledger).stopped.push(Span { proxy, from: terminated_at, to: Instant::now() });
+        lock_ledger(&self.ledger).stopped.push(Span { proxy, from: terminated_at, to: Instant::now() });
         if ended == Some(false) {
-            self.broken(format!("proxy {proxy} fails on SIGTERM"));
+            self.report_violation(format!("proxy {proxy} exited with an error after SIGTERM"));
         }
         self.restart(proxy);
     }
 
-    /// From SIGTERM to the earliest SIGKILL.
+    /// The time from SIGTERM to the earliest SIGKILL.
     fn kill_delay(&self) -> Duration {
         Duration::from_secs_f64(self.plan.deadline.min(MAX_COUNTED_DEADLINE_S) + KILL_DELAY_S)
     }
 
-    /// Sends the signals of a series to a proxy that runs, each after the gap of the one before.
+    /// Sends the signals of a series to a running proxy, each after the gap of the one before.
     fn send_series(&self, proxy: usize, series: &[SignalStep]) {
         for step in series {
             if step.signal == SeriesSignal::Reload {
@@ -136,7 +136,7 @@
         process.signal(Signal::SIGSTOP);
         std::thread::sleep(Duration::from_secs_f64(length));
         process.signal(Signal::SIGCONT);
-        open(&self.ledger).suspended.push(Span { proxy, from, to: Instant::now() });
+        lock_ledger(&self.ledger).suspended.push(Span { proxy, from, to: Instant::now() });
     }
 
     pub(super) fn kill(&self, proxy: usize) {
@@ -144,23 +144,23 @@
         let from = Instant::now();
         process.kill();
         std::thread::sleep(Duration::from_millis(50));
-        self.takes(proxy, false);
+        self.set_in_service(proxy, false);
         let last_use = Instant::now() + MAX_CLIENT_PAUSE;
-        open(&self.ledger).killed.push(Span { proxy, from, to: last_use });
+        lock_ledger(&self.ledger).killed.push(Span { proxy, from, to: last_use });
         self.restart(proxy);
     }
 
     pub(super) fn reload(&self, proxy: usize) {
-        let (address_sender, moved) = std::sync::mpsc::channel();
-        self.looped.spawn(move || async move {
+        let (address_sender, new_address) = std::sync::mpsc::channel();
+        self.event_loop.spawn(move || async move {
             let Some(world) = world() else { return };
-            let Ok(agent) = world.discovery.agent(proxy).await else { return };
+            let Ok(agent) = world.discovery.start_agent(proxy).await else { return };
             let address = agent.address;
             let old = std::mem::replace(&mut world.agents.borrow_mut()[proxy], agent);
-            world.discovery.leave(&old);
-            let _ = address_sender.send(address); // whoever asked may have gone
+            world.discovery.retire(&old);
+            let _ = address_sender.send(address); // the receiver is gone after its time-out
         });
-        let Ok(address) = moved.recv_timeout(Duration::from_secs(5)) else { return };
+        let Ok(address) = new_address.recv_timeout(Duration::from_secs(5)) else { return };
         let path = lock(&self.proxies)[proxy].as_ref().map(|process| process.config_path().to_path_buf());
         lock(&self.agents)[proxy] = address;
         let Some(path) = path else { return };
--- a/testbed/src/soak/stage.rs
+++ b/testbed/src/soak/stage.rs
@@ -1,8 +1,8 @@
-//! The processes of a play: their configuration, environment, start and log.
+//! The processes of a run: their configuration, environment, start and log.
 
-use super::ledger::{Shared, open};
+use super::ledger::{SharedLedger, lock_ledger};
 use super::oracle::settings;
-use super::plan::{Fault, Kind, Plan};
+use super::plan::{Fault, FaultKind, Plan};
 use super::world::{World, world};
 use crate::process::{Fleet, Process, StartError};
 use crate::rt::Loop;
@@ -15,11 +15,11 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// A restarted proxy has to be ready within this.
+/// How soon after its start a proxy must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The processes and the threads that act on them.
-pub(super) struct Stage {
+/// The processes of a run, and the state that the threads acting on them share.
+pub(super) struct Harness {
     pub(super) plan: Plan,
     pub(super) start: Instant,
     pub(super) epoch_ns: u64,
@@ -28,20 +28,20 @@
     pub(super) addresses: Mutex<Vec<SocketAddr>>,
     pub(super) agents: Mutex<Vec<SocketAddr>>,
     pub(super) node: Mutex<Option<Process>>,
-    pub(super) at_work: AtomicUsize,
-    pub(super) over: AtomicBool,
-    pub(super) looped: Loop,
-    pub(super) ledger: Shared,
-    pub(super) known: Value,
+    pub(super) active_faults: AtomicUsize,
+    pub(super) is_finished: AtomicBool,
+    pub(super) event_loop: Loop,
+    pub(super) ledger: SharedLedger,
+    pub(super) known_list: Value,
     pub(super) scratch: Scratch,
 }
 
-/// Locks, whatever a thread that panicked has left.
+/// Locks a mutex, also after a panic of a thread that held it.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-impl Stage {
+impl Harness {
     pub(super) fn config(&self, proxy: usize, discovery: SocketAddr) -> String {
         let class = |name: &str, effect: &str| {
             json!({"name": name, "effect": effect, "group": "all", "window": settings::WINDOW,
@@ -61,17 +61,21 @@
         });
         json!({"name": format!("p{proxy}"), "seed": format!("{:016x}", self.plan.seed ^ proxy as u64),
                "discovery": discovery.to_string(), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
-               "known": self.known, "settings": settings})
+               "known": self.known_list, "settings": settings})
         .to_string()
     }
 
-    /// The rules of the preload library for a proxy.
-    pub(super) fn rules(&self, proxy: usize) -> Vec<String> {
-        let span = |t: &Fault| format!("{}-{}", (t.at * 1e3) as u64, ((t.at + t.length) * 1e3) as u64);
-        let rule = |t: &Fault| match &t.kind {
-            Kind::Calls { proxy: of, rule } if *of == proxy => Some(format!("{rule}:{}", span(t))),
-            // Its clock is wrong from the start of the process on: a step while it runs changes nothing that it keeps.
-            Kind::WallClock { by, .. } => Some(format!("clock={by:+}@1:0-600000")),
+    /// The rules for the preload library of a proxy.
+    pub(super) fn syscall_fault_rules(&self, proxy: usize) -> Vec<String> {
+        let span = |fault: &Fault| {
+            format!("{}-{}", (fault.at * 1e3) as u64, ((fault.at + fault.length) * 1e3) as u64)
+        };
+        let rule = |fault: &Fault| match &fault.kind {
+            FaultKind::SystemCalls { proxy: faulty, rule } if *faulty == proxy => {
+                Some(format!("{rule}:{}", span(fault)))
+            }
+            // The clock is wrong from the start of the process: a step while it runs would change none of its state.
+            FaultKind::WallClock { offset_s, .. } => Some(format!("clock={offset_s:+}@1:0-600000")),
             _ => None,
         };
         self.plan.faults.iter().filter_map(rule).collect()
@@ -89,61 +93,63 @@
     pub(super) fn start_proxy(&self, proxy: usize) -> Result<(), StartError> {
         let agent = lock(&self.agents)[proxy];
         let config = self.config(proxy, agent);
-        let environment = self.environment(self.rules(proxy), self.plan.seed ^ proxy as u64);
-        let known = lock(&self.addresses).get(proxy).copied();
-        let listen = known.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
+        let environment = self.environment(self.syscall_fault_rules(proxy), self.plan.seed ^ proxy as u64);
+        let former_address = lock(&self.addresses).get(proxy).copied();
+        let listen = former_address.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
         let process = {
             let mut fleet = lock(&self.fleet);
             fleet.set_environment(environment);
             fleet.proxy_at(&config, &[agent], listen)?
         };
         let address = process.address();
-        if known.is_none() {
+        if former_address.is_none() {
             lock(&self.addresses).push(address);
         }
         lock(&self.proxies)[proxy] = Some(process);
         Ok(())
     }
 
-    /// Waits until a proxy is ready; returns how long that took, if it came to that.
-    pub(super) fn ready(&self, proxy: usize) -> Option<Duration> {
+    /// Waits until a proxy is ready; returns how long that took, or none after [`READY_TIMEOUT`].
+    pub(super) fn wait_until_ready(&self, proxy: usize) -> Option<Duration> {
         let address = lock(&self.addresses)[proxy];
-        let begin = Instant::now();
-        while begin.elapsed() < READY_TIMEOUT {
-            let asked =
+        let started_at = Instant::now();
+        while started_at.elapsed() < READY_TIMEOUT {
+            let is_ready =
                 TcpStream::connect_timeout(&address, Duration::from_secs(1)).and_then(|mut stream| {
                     stream.set_read_timeout(Some(Duration::from_secs(1)))?;
                     stream.write_all(b"GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n")?;
-                    let mut piece = [0; 64];
-                    let read = stream.read(&mut piece)?;
-                    Ok(piece[..read].starts_with(b"HTTP/1.1 200"))
+                    let mut buffer = [0; 64];
+                    let read = stream.read(&mut buffer)?;
+                    Ok(buffer[..read].starts_with(b"HTTP/1.1 200"))
                 });
-            if asked.unwrap_or(false) {
-                return Some(begin.elapsed());
+            if is_ready.unwrap_or(false) {
+                return Some(started_at.elapsed());
             }
             std::thread::sleep(Duration::from_millis(20));
         }
         None
     }
 
-    pub(super) fn broken(&self, what: String) {
-        open(&self.ledger).broken.push(what);
+    pub(super) fn report_violation(&self, description: String) {
+        lock_ledger(&self.ledger).violations.push(description);
     }
 
-    /// Counts the violations that a process has logged.
-    pub(super) fn note_log(&self, proxy: usize, process: &Process) {
-        // What comes late in a process that was suspended is the suspension's.
-        let was_suspended = open(&self.ledger).suspended.iter().any(|span| span.proxy == proxy);
+    /// Records the violations and panics that a process has logged.
+    pub(super) fn record_logged_violations(&self, proxy: usize, process: &Process) {
+        // Lateness in a process that was suspended is caused by the suspension.
+        let was_suspended = lock_ledger(&self.ledger).suspended.iter().any(|span| span.proxy == proxy);
         let is_late = |line: &String| was_suspended && !line.contains("\"late_by\":0.0,");
         let is_violation = |line: &String| line.contains("\"violation\"") && !is_late(line);
-        let is_reported = |line: &String| is_violation(line) || line.contains("panicked");
-        let reported = process.log_lines().into_iter().filter(is_reported);
-        open(&self.ledger).broken.extend(reported.map(|line| format!("proxy {proxy} tells: {line}")));
+        let is_recorded = |line: &String| is_violation(line) || line.contains("panicked");
+        let violations = process.log_lines().into_iter().filter(is_recorded);
+        lock_ledger(&self.ledger)
+            .violations
+            .extend(violations.map(|line| format!("proxy {proxy} logged: {line}")));
     }
 
-    /// Acts on the world, on its loop.
+    /// Runs `act` on the world, on its event loop, and waits for it.
     pub(super) fn on_world(&self, act: impl FnOnce(&World) + Send + 'static) {
-        self.looped.wait(move || async move {
+        self.event_loop.wait(move || async move {
             if let Some(world) = world() {
                 act(&world);
             }
