--- a/testbed/src/run/faults.rs
+++ b/testbed/src/run/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a run's timeline: how each begins, and how it ends.
+//! Performs the steps of a run's timeline: applies its faults, and lifts them.
 
 use super::fleet::{Placement, Run, Target};
 use super::timeline::Step;
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 /// How long a replaced backend drains before it ends, in seconds.
-const REPLACED_DRAIN: f64 = 1.5;
+const REPLACED_DRAIN_S: f64 = 1.5;
 /// How long after SIGTERM the front stops sending requests to a proxy, in seconds.
-const FRONT_STOPS_AFTER_TERM: f64 = 0.3;
+const FRONT_STOP_DELAY_S: f64 = 0.3;
 /// The period of repeated faults of a backend, in seconds.
-const REPEAT_PERIOD: f64 = 1.0;
+const REPEAT_PERIOD_S: f64 = 1.0;
 
 impl Run<'_> {
     /// Performs a step of the timeline.
@@ -22,9 +22,9 @@
         match step {
             Step::SetProxyInFront { proxy, alive } => self.set_in_front(proxy, alive),
             Step::RemoveBackend { tier, id } => self.remove_backend(tier, id),
-            Step::Freeze { slot, duration, until } => self.freeze(slot, duration, until, now),
-            Step::NoisyNeighbour { slot, part, until, active } => {
-                self.noisy_neighbour(slot, part, until, active, now);
+            Step::Freeze { slot, duration, ends_at } => self.freeze(slot, duration, ends_at, now),
+            Step::NoisyNeighbour { slot, part, ends_at, active } => {
+                self.noisy_neighbour(slot, part, ends_at, active, now);
             }
             Step::ApplyFault(index, Some(target)) => {
                 let fault = self.experiment.faults[index].clone();
@@ -42,9 +42,9 @@
     /// Applies a fault to all targets of its group, at once or one after another, and schedules its end.
     fn apply_to_group(&mut self, index: usize, now: f64) {
         let fault = self.experiment.faults[index].clone();
-        let who = self.experiment.groups.get(&fault.who).unwrap_or(&fault.who);
+        let group_text = self.experiment.groups.get(&fault.who).unwrap_or(&fault.who);
         let to = fault.to.as_ref().map_or(String::new(), |to| format!(" to {to}"));
-        self.fault_log.push((now, format!("{:?} {who}{to}", fault.what).to_lowercase()));
+        self.fault_log.push((now, format!("{:?} {group_text}{to}", fault.what).to_lowercase()));
         // The group was checked when the file was read.
         let Ok(group) = self.experiment.group(&fault.who) else { return };
         let seed = self.options.seed ^ (index as u64) << 8;
@@ -67,7 +67,7 @@
             return self.set_links(fault, targets, Some(fault.by_ms.unwrap_or(0.0) / 1e3));
         }
         self.signal_all(fault.what, targets);
-        let until = now + fault.length.unwrap_or(f64::INFINITY);
+        let ends_at = now + fault.length.unwrap_or(f64::INFINITY);
         let front_notices = now + self.experiment.load.front_notices;
         for target in targets.iter().copied() {
             match (fault.what, target) {
@@ -79,18 +79,18 @@
                 (What::Kill, Target::Backend(slot)) => self.kill_backend(slot),
                 (What::Stop, Target::Proxy(proxy)) => self.schedule_in_front(front_notices, proxy, false),
                 (What::Term, Target::Proxy(proxy)) => {
-                    self.schedule_in_front(now + FRONT_STOPS_AFTER_TERM, proxy, false);
+                    self.schedule_in_front(now + FRONT_STOP_DELAY_S, proxy, false);
                 }
                 (What::Start, target) => self.start(target, now),
-                (what, Target::Backend(slot)) => self.apply_to_backend(what, fault, slot, now, until),
+                (kind, Target::Backend(slot)) => self.apply_to_backend(kind, fault, slot, now, ends_at),
                 _ => {}
             }
         }
     }
 
-    /// Signals all targets before any of them is waited for, so that they end together.
-    fn signal_all(&mut self, what: What, targets: &[Target]) {
-        let signal = match what {
+    /// Signals all targets before waiting for any of them, so that they end together.
+    fn signal_all(&mut self, kind: What, targets: &[Target]) {
+        let signal = match kind {
             What::Kill => Signal::SIGKILL,
             What::Stop => Signal::SIGSTOP,
             What::Term => Signal::SIGTERM,
@@ -98,7 +98,7 @@
         };
         for target in targets {
             if let Target::Proxy(proxy) = target
-                && what != What::Term
+                && kind != What::Term
             {
                 self.record.dies(*proxy);
             }
@@ -117,17 +117,17 @@
         }
     }
 
-    fn apply_to_backend(&mut self, what: What, fault: &Fault, slot: usize, now: f64, until: f64) {
+    fn apply_to_backend(&mut self, kind: What, fault: &Fault, slot: usize, now: f64, ends_at: f64) {
         let part = fault.part.unwrap_or(1.0);
         let seconds = fault.by_ms.unwrap_or(0.0) / 1e3;
-        match what {
+        match kind {
             What::Stop => self.backends.with(slot, |b, _| b.ail(|ills| ills.silent = true)),
             What::Drain => self.drain(slot),
             What::Replace => self.replace(slot, now),
             What::Slow => self.backends.with(slot, move |b, _| b.change(|model| model.slow_to(part))),
-            What::Freeze => self.timeline.schedule(now, Step::Freeze { slot, duration: seconds, until }),
+            What::Freeze => self.timeline.schedule(now, Step::Freeze { slot, duration: seconds, ends_at }),
             What::Neighbour => {
-                self.timeline.schedule(now, Step::NoisyNeighbour { slot, part, until, active: true });
+                self.timeline.schedule(now, Step::NoisyNeighbour { slot, part, ends_at, active: true });
             }
             What::FailFast => self.backends.with(slot, move |b, _| b.ail(|ills| ills.fail_fast = part)),
             What::LateReports => {
@@ -152,14 +152,14 @@
                     self.schedule_in_front(now + self.experiment.load.front_notices, proxy, true);
                 }
                 (What::Stop, Target::Node(_)) => self.signal(target, Signal::SIGCONT),
-                (what, Target::Backend(slot)) => self.lift_from_backend(what, slot, now),
+                (kind, Target::Backend(slot)) => self.lift_from_backend(kind, slot, now),
                 _ => {}
             }
         }
     }
 
-    fn lift_from_backend(&mut self, what: What, slot: usize, now: f64) {
-        match what {
+    fn lift_from_backend(&mut self, kind: What, slot: usize, now: f64) {
+        match kind {
             What::Stop => self.backends.with(slot, |b, _| b.ail(|ills| ills.silent = false)),
             What::Drain => {
                 let (tier, id) = (self.slots[slot].tier, self.slots[slot].id.clone());
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Starts what is not running: a proxy at its address, a backend in slow start, a list node on its disk.
+    /// Starts a stopped target: a proxy at its address, a backend in slow start, a list node with its data.
     fn start(&mut self, target: Target, now: f64) {
         match target {
             Target::Proxy(proxy) if proxy < self.proxies.len() => {
@@ -186,25 +186,25 @@
             }
             Target::Backend(slot) => {
                 let sidecar = self.sidecar_of(slot);
-                let _ = self.place_backend(slot, Placement::Restart); // a backend without a port stays away
+                let _ = self.place_backend(slot, Placement::Restart); // without a port it is left out
                 if let Some(proxy) = sidecar {
                     self.restart_proxy(proxy);
                 }
             }
             Target::Node(node) => {
                 if let Err(error) = self.lists[0].start_node(&mut self.fleet, node, "") {
-                    self.record.violation(|| format!("list node {node} does not start again: {error}"));
+                    self.record.violation(|| format!("list node {node} did not restart: {error}"));
                 }
             }
             Target::Proxy(_) | Target::Clients => {}
         }
     }
 
-    /// Starts a proxy again; one that does not start is a violation.
+    /// Restarts a proxy; records a violation where that fails.
     fn restart_proxy(&mut self, proxy: usize) -> bool {
         let started = self.start_proxy(proxy);
         if let Err(error) = &started {
-            self.record.violation(|| format!("proxy {proxy} does not start again: {error}"));
+            self.record.violation(|| format!("proxy {proxy} did not restart: {error}"));
         }
         started.is_ok()
     }
@@ -239,8 +239,8 @@
     fn replace(&mut self, slot: usize, now: f64) {
         let (tier, id) = (self.slots[slot].tier, self.slots[slot].id.clone());
         self.drain(slot);
-        self.timeline.schedule(now + REPLACED_DRAIN, Step::RemoveBackend { tier, id });
-        let _ = self.place_backend(slot, Placement::Replacement); // a backend without a port stays away
+        self.timeline.schedule(now + REPLACED_DRAIN_S, Step::RemoveBackend { tier, id });
+        let _ = self.place_backend(slot, Placement::Replacement); // without a port it is left out
     }
 
     fn remove_backend(&mut self, tier: usize, id: String) {
@@ -258,7 +258,7 @@
         });
     }
 
-    fn freeze(&mut self, slot: usize, duration: f64, until: f64, now: f64) {
+    fn freeze(&mut self, slot: usize, duration: f64, ends_at: f64, now: f64) {
         self.backends.with(slot, move |backend, _| {
             backend.change(|model| model.freeze(true));
             let backend = backend.clone();
@@ -267,19 +267,19 @@
                 backend.change(|model| model.freeze(false));
             });
         });
-        if now + REPEAT_PERIOD < until {
-            self.timeline.schedule(now + REPEAT_PERIOD, Step::Freeze { slot, duration, until });
+        if now + REPEAT_PERIOD_S < ends_at {
+            self.timeline.schedule(now + REPEAT_PERIOD_S, Step::Freeze { slot, duration, ends_at });
         }
     }
 
-    fn noisy_neighbour(&mut self, slot: usize, part: f64, until: f64, active: bool, now: f64) {
-        let remaining = if active && now < until { 1.0 - part } else { 1.0 };
+    fn noisy_neighbour(&mut self, slot: usize, part: f64, ends_at: f64, active: bool, now: f64) {
+        let remaining = if active && now < ends_at { 1.0 - part } else { 1.0 };
         self.backends.with(slot, move |backend, _| {
             backend.change(|model| model.neighbour_leaves(remaining));
         });
-        if now < until {
-            let next = (now + REPEAT_PERIOD).min(until);
-            self.timeline.schedule(next, Step::NoisyNeighbour { slot, part, until, active: !active });
+        if now < ends_at {
+            let next = (now + REPEAT_PERIOD_S).min(ends_at);
+            self.timeline.schedule(next, Step::NoisyNeighbour { slot, part, ends_at, active: !active });
         }
     }
 }
--- a/testbed/src/run/fleet.rs
+++ b/testbed/src/run/fleet.rs
@@ -78,7 +78,7 @@
     Initial,
     /// After a crash: the same machine, in slow start.
     Restart,
-    /// A new machine, in slow start; the one before drains beside it.
+    /// A new machine, in slow start, while the former one drains.
     Replacement,
 }
 
@@ -95,7 +95,7 @@
     pub slots: Vec<BackendSlot>,
     pub backends: BackendStage,
     pub clients: ClientStage,
-    /// Where requests go without proxies, in experiments that compare with that.
+    /// How clients send requests directly to backends, in experiments that run without proxies for comparison.
     pub direct: Option<Direct>,
     pub timeline: Timeline,
     /// The faults that began and ended, with their time.
@@ -151,7 +151,8 @@
             port: 0,
         };
         let address = self.backends.put(made, replaces);
-        let address = address.ok_or_else(|| RunError::Io(std::io::Error::other("a backend has no port")))?;
+        let address = address
+            .ok_or_else(|| RunError::Io(std::io::Error::other("no port is available for a backend")))?;
         slot.address = Some(address);
         let body = slot.registration_body(address, is_cold, self.experiment.list.ttl_ms);
         let registration = Registration { tier: slot.tier, id: slot.id.clone(), body };
@@ -166,8 +167,8 @@
         Ok(())
     }
 
-    /// Makes all proxies, the front's `front_count` and then the sidecars of `sidecar_slots`, and starts those that run from the
-    /// start.
+    /// Makes all proxies, `front_count` for the front and then the sidecars of `sidecar_slots`, and starts those
+    /// that run from the beginning.
     pub fn make_proxies(&mut self, sidecar_slots: &[usize], front_count: usize) -> Result<(), RunError> {
         let experiment = self.experiment;
         let zones = &experiment.proxies.zones;
@@ -230,7 +231,7 @@
         Ok(())
     }
 
-    /// Has the front send requests to a proxy, or stop sending.
+    /// Makes the front send requests to a proxy, or stop sending them.
     pub fn set_in_front(&self, proxy: usize, alive: bool) {
         self.clients.with(move |front| front.set_alive(proxy, alive));
     }
@@ -269,7 +270,7 @@
         self.proxies.iter().position(|proxy| proxy.sidecar_of == Some(slot))
     }
 
-    /// The members of a group as it is now.
+    /// The current members of a group.
     pub fn targets(&self, group: &Group, seed: u64) -> Vec<Target> {
         let (count, reserve) = (self.experiment.proxies.count, self.experiment.proxies.reserve);
         let choose = |candidates| group.choose(candidates, seed).into_iter();
@@ -294,16 +295,16 @@
     }
 
     fn proxies_in(&self, group: &Group, range: Range<usize>) -> Vec<usize> {
-        let is_meant = |n: &usize| self.proxies.get(*n).is_some_and(|proxy| is_in_zone(group, &proxy.zone));
-        range.filter(is_meant).collect()
+        let is_member = |n: &usize| self.proxies.get(*n).is_some_and(|proxy| is_in_zone(group, &proxy.zone));
+        range.filter(is_member).collect()
     }
 
     fn backends_in(&self, group: &Group) -> Vec<usize> {
-        let is_meant = |slot: &BackendSlot| {
+        let is_member = |slot: &BackendSlot| {
             let is_of_kind = group.kind.as_deref().is_none_or(|kind| kind == slot.kind.name);
             is_in_zone(group, &slot.zone) && is_of_kind && slot.tier == group.tier.unwrap_or(0)
         };
-        (0..self.slots.len()).filter(|slot| is_meant(&self.slots[*slot])).collect()
+        (0..self.slots.len()).filter(|slot| is_member(&self.slots[*slot])).collect()
     }
 }
 
--- a/testbed/src/run/limits.rs
+++ b/testbed/src/run/limits.rs
@@ -6,13 +6,13 @@
 
 /// Descriptors of the testbed itself, beside those that grow with the experiment.
 const OWN_DESCRIPTORS: u64 = 256;
-/// Descriptors of a proxy's process and its log, and of the connections that it is expected to hold.
+/// Descriptors of a proxy's process and its log, and of the connections that it is expected to have.
 const DESCRIPTORS_PER_PROXY: u64 = 11;
-/// Backends that one proxy is expected to hold connections to, at most.
+/// The maximum number of backends that one proxy is expected to have connections to.
 const MAX_BACKENDS_PER_PROXY: u64 = 24;
-/// The soft limit on descriptors that a run asks for at least.
+/// The minimum soft limit on descriptors that a run sets.
 const MIN_SOFT_LIMIT: u64 = 4_096;
-/// The number of ephemeral ports where the system does not say: the default range of Linux.
+/// The number of ephemeral ports where the system does not report it: the default range of Linux.
 const DEFAULT_PORT_COUNT: u64 = 28_232;
 const PORT_RANGE_FILE: &str = "/proc/sys/net/ipv4/ip_local_port_range";
 
--- a/testbed/src/run/link_faults.rs
+++ b/testbed/src/run/link_faults.rs
@@ -8,22 +8,22 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Added to the run's seed for the draw of a fault's other end.
+/// Combined with the run's seed to draw the members of a fault's other end.
 const OTHER_END_SEED: u64 = 0x70;
 
-/// A fault as one link sees it.
+/// A fault as it applies to one link.
 #[derive(Clone, Copy)]
 struct LinkEffect<'a> {
     fault: &'a Fault,
-    /// The delay of this link in seconds; none lifts the fault.
+    /// The delay of this link, in seconds; none lifts the fault.
     delay: Option<f64>,
     /// One in this many messages is dropped.
     one_in: u64,
 }
 
 impl Run<'_> {
-    /// Puts a fault on the links from `targets` to the fault's other end, delayed by up to `max_delay` seconds, or lifts it
-    /// where there is no delay.
+    /// Applies a fault to the links from `targets` to the fault's other end, with a delay of up to `max_delay` seconds,
+    /// or lifts it where there is no delay.
     pub(super) fn set_links(&mut self, fault: &Fault, targets: &[Target], max_delay: Option<f64>) {
         let Some(Ok(group)) = fault.to.as_ref().map(|to| self.experiment.group(to)) else { return };
         let others = self.targets(&group, self.options.seed ^ OTHER_END_SEED);
@@ -48,9 +48,9 @@
                     relay.set(fault);
                 }
             }
-            (Target::Node(one), Target::Node(other)) if one != other => {
-                self.lists[0].link(one, other, effect.at_relay(true));
-                self.lists[0].link(other, one, effect.at_relay(false));
+            (Target::Node(node), Target::Node(other)) if node != other => {
+                self.lists[0].link(node, other, effect.at_relay(true));
+                self.lists[0].link(other, node, effect.at_relay(false));
             }
             (Target::Clients, Target::Proxy(proxy)) => {
                 let link = effect.at_clients();
--- a/testbed/src/run/list_writer.rs
+++ b/testbed/src/run/list_writer.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// A registered backend, whose heartbeats are sent for as long as it is here.
+/// A registered backend; its heartbeats are sent while it is in [`Registrations`].
 #[derive(Clone)]
 pub(super) struct Registration {
     /// The tier whose list it is on.
@@ -35,7 +35,7 @@
 
 type Write = Box<dyn FnOnce(&ListWriter) + Send>;
 
-/// Makes the writes, each tried at all nodes of a list.
+/// Makes the writes, trying each at all nodes of a list.
 pub(super) struct ListWriter {
     /// The nodes of each tier's list.
     nodes: Vec<Vec<SocketAddr>>,
@@ -70,7 +70,7 @@
         None
     }
 
-    /// Registers a backend and has heartbeats sent for it from now on.
+    /// Registers a backend and starts its heartbeats.
     pub fn register(&self, registration: Registration) -> Option<u64> {
         let revision = self.write(registration.tier, "/v1/register", &registration.body);
         self.stop_heartbeats(&registration.id);
@@ -78,27 +78,27 @@
         revision
     }
 
-    /// Sends no more heartbeats for a backend.
+    /// Stops the heartbeats of a backend.
     pub fn stop_heartbeats(&self, id: &str) {
         self.registrations.lock().retain(|registration| registration.id != id);
     }
 }
 
-/// Writes that wait for their turn.
+/// The queue of pending writes.
 pub(super) struct WriteQueue(Sender<Write>);
 
 impl WriteQueue {
-    /// Queues a write behind those before it.
+    /// Appends a write to the queue.
     pub fn push(&self, write: impl FnOnce(&ListWriter) + Send + 'static) {
         let _ = self.0.send(Box::new(write)); // the writer ends only with this queue
     }
 
-    /// Waits until all writes so far are made; returns the last revision of the first tier's list.
+    /// Waits until all queued writes are made; returns the last revision of the first tier's list.
     pub fn wait_until_written(&self) -> u64 {
         let (sender, receiver) = channel();
         self.push(move |writer| {
             let last = writer.record.acknowledged().last_key_value().map_or(0, |(revision, _)| *revision);
-            let _ = sender.send(last); // nobody waits any more where it fails
+            let _ = sender.send(last); // if it fails, nothing waits for the result any more
         });
         receiver.recv().unwrap_or(0)
     }
--- a/testbed/src/run/mod.rs
+++ b/testbed/src/run/mod.rs
@@ -1,7 +1,7 @@
-//! One run of an experiment: starts the fleet, plays the load and the timeline of faults, and reports what was recorded.
+//! One run of an experiment: starts the fleet, runs the load and the timeline of faults, and reports what was recorded.
 //!
-//! [`run`] is the whole of it. `fleet` owns the processes, `timeline` what is scheduled, `faults` and `link_faults` apply
-//! the faults, and `list_writer` makes the writes to the endpoint lists.
+//! [`run`] is the entry point. `fleet` owns the processes, `timeline` the scheduled steps; `faults` and `link_faults`
+//! apply the faults, and `list_writer` makes the writes to the endpoint lists.
 
 mod faults;
 mod fleet;
@@ -38,33 +38,33 @@
 use thiserror::Error;
 use timeline::{Step, Timeline};
 
-/// How long all processes have to be ready.
+/// How soon after the start all processes must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 /// How long after the last arrival's deadline the last request may end, in seconds.
-const END_TIMEOUT: f64 = 3.0;
+const END_TIMEOUT_S: f64 = 3.0;
 /// How long the fleet's processes may live beyond the experiment and its start.
 const CLEANUP_TIMEOUT: Duration = Duration::from_secs(60);
 /// The time that a start is expected to take: a fixed part, and more for each proxy and each backend.
 const EXPECTED_START: Duration = Duration::from_millis(1_500);
 const EXPECTED_START_PER_PROXY: Duration = Duration::from_millis(40);
 const EXPECTED_START_PER_BACKEND: Duration = Duration::from_millis(5);
-/// The longest wait between two looks at the timeline.
-const MAX_STEP: Duration = Duration::from_millis(50);
+/// The longest wait between two checks of the timeline.
+const MAX_TIMELINE_WAIT: Duration = Duration::from_millis(50);
 /// Steps of the progress bar.
 const PROGRESS_STEPS: u64 = 1_000;
-/// Distinguishes the run's draws from those of the load, which have the same seed.
+/// Distinguishes the random choices of the run from those of the load, which have the same seed.
 const RUN_SEED: u64 = 0x1ab;
-/// How often list-service nodes of a run look for expired entries.
+/// The configuration of the list-service nodes of a run: how often they check for expired entries.
 const LIST_CONFIG: &str = "expire_every_ms = 50";
 
-/// How a run is to be played.
+/// The options of a run.
 #[derive(Clone)]
 pub struct Options {
     /// The proxy's program.
     pub program: PathBuf,
     /// The seed of every random choice.
     pub seed: u64,
-    /// The folder that the report and the plots are written to, if any.
+    /// The directory that the report and the plots are written to, if any.
     pub out: Option<PathBuf>,
     /// Whether to show a progress bar.
     pub progress: bool,
@@ -72,12 +72,12 @@
     pub stop: Arc<AtomicBool>,
 }
 
-/// Why a run could not be played.
+/// Why a run failed.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The run needs more descriptors than the process may hold.
+    /// The run needs more descriptors than the process may open.
     #[error(
-        "{needed} file descriptors are needed and {limit} may be had (ulimit -Hn); make the fleet smaller"
+        "{needed} file descriptors are needed, but the limit is {limit} (ulimit -Hn); make the fleet smaller"
     )]
     Descriptors {
         /// The number needed.
@@ -86,7 +86,9 @@
         limit: u64,
     },
     /// The run needs more ephemeral ports than the system has.
-    #[error("{needed} ports are needed and {limit} may be had (ip_local_port_range); make the fleet smaller")]
+    #[error(
+        "{needed} ports are needed, but the limit is {limit} (ip_local_port_range); make the fleet smaller"
+    )]
     Ports {
         /// The number needed.
         needed: u64,
@@ -102,7 +104,7 @@
     /// A system call failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// A group of the experiment is not known.
+    /// A group of the experiment is unknown.
     #[error(transparent)]
     Group(#[from] GroupError),
 }
@@ -113,7 +115,7 @@
     lateness: Option<Histogram<u64>>,
     /// Whether the run was ended early.
     is_partial: bool,
-    /// Up to when figures count, in seconds of the run.
+    /// The time up to which figures count, in seconds of the run.
     counted_until: f64,
 }
 
@@ -123,10 +125,10 @@
     cpu_share: f64,
 }
 
-/// Plays an experiment once.
+/// Runs an experiment once.
 ///
 /// # Errors
-/// As [`RunError`] says; nothing is left running.
+/// Those of [`RunError`]; no process is left running.
 pub fn run(experiment: &Experiment, options: &Options) -> Result<Report, RunError> {
     let mut rng = SmallRng::seed_from_u64(options.seed ^ RUN_SEED);
     let slots = backend_slots(experiment, &mut rng);
@@ -135,8 +137,8 @@
     limits::check(experiment, sidecar_slots.len())?;
     let front_count = experiment.proxies.count + experiment.proxies.reserve;
     let proxy_count = front_count + sidecar_slots.len();
-    let began = Instant::now();
-    // The record's zero is the first arrival: everything before it counts as below 0.
+    let started_at = Instant::now();
+    // Time 0 of the record is the first arrival; times before it count as negative.
     let setup = EXPECTED_START
         + EXPECTED_START_PER_PROXY * proxy_count as u32
         + EXPECTED_START_PER_BACKEND * slots.len() as u32;
@@ -146,7 +148,7 @@
         options.seed,
         rng.random::<u32>()
     )))?;
-    let record = Record::new(began + setup, proxy_count);
+    let record = Record::new(started_at + setup, proxy_count);
     let lifetime = Duration::from_secs_f64(experiment.seconds) + setup + READY_TIMEOUT + CLEANUP_TIMEOUT;
     let fleet = Fleet::new(&options.program, scratch.path(), lifetime)
         .for_many(process_count(experiment, proxy_count));
@@ -161,14 +163,14 @@
         }
         run.wait_until_ready(listed)?;
     }
-    let startup = began.elapsed();
+    let startup = started_at.elapsed();
     if startup > setup {
         let seconds = startup.as_secs_f64();
-        return Err(RunError::NotReady(format!("the start took {seconds:.1} s, longer than foreseen")));
+        return Err(RunError::NotReady(format!("the start took {seconds:.1} s, longer than expected")));
     }
     run.schedule_faults();
     let cpu_before = cpu_seconds();
-    let load_end = run.play(arrivals(experiment, options.seed), bar.as_ref());
+    let load_end = run.run_load(arrivals(experiment, options.seed), bar.as_ref());
     let cpu_share = (cpu_seconds() - cpu_before) / record.now().max(0.1);
     if let Some(bar) = bar {
         bar.finish_and_clear();
@@ -176,8 +178,8 @@
     drop(heartbeats);
     let machines = run.backends.machines();
     let ends = record.ends(experiment.oracle.one_end);
-    let own = OwnUsage { startup_s: startup.as_secs_f64(), cpu_share };
-    let mut report = run.report(&load_end, &ends, &machines, front_count, &own);
+    let own_usage = OwnUsage { startup_s: startup.as_secs_f64(), cpu_share };
+    let mut report = run.report(&load_end, &ends, &machines, front_count, &own_usage);
     drop(run);
     drop(scratch);
     if !load_end.is_partial {
@@ -189,13 +191,13 @@
     Ok(report)
 }
 
-/// The most processes that a run starts, those that faults restart included.
+/// The maximum number of processes that a run starts, including those that faults restart.
 fn process_count(experiment: &Experiment, proxy_count: usize) -> usize {
     let faults: usize = experiment.faults.iter().map(|fault| fault.times).sum();
     (proxy_count + 5 * (1 + experiment.tiers.len())) * (2 + faults)
 }
 
-/// Starts the list nodes, the backends and the clients; proxies come later.
+/// Starts the list nodes, the backends and the clients, but no proxies.
 fn start_fleet<'a>(
     experiment: &'a Experiment,
     options: &'a Options,
@@ -282,13 +284,13 @@
         }
     }
 
-    /// Plays the arrivals and the timeline until all requests have ended.
-    fn play(&mut self, arrivals: Vec<Arrival>, bar: Option<&ProgressBar>) -> LoadEnd {
+    /// Runs the arrivals and the timeline until all requests have ended.
+    fn run_load(&mut self, arrivals: Vec<Arrival>, bar: Option<&ProgressBar>) -> LoadEnd {
         let experiment = self.experiment;
         let lateness =
             self.clients.play(self.record.clone(), experiment.clone(), self.direct.clone(), arrivals);
         let longest_deadline = experiment.classes.iter().map(|class| class.hard_limit).fold(0.0, f64::max);
-        let last_end = experiment.seconds + longest_deadline + END_TIMEOUT;
+        let last_end = experiment.seconds + longest_deadline + END_TIMEOUT_S;
         let mut end = LoadEnd { lateness: None, is_partial: false, counted_until: experiment.seconds };
         loop {
             let now = self.record.now();
@@ -315,7 +317,7 @@
 
     /// Waits for the end of the load, up to the next step of the timeline.
     fn wait_for_load(&self, lateness: &Receiver<Histogram<u64>>) -> Result<Histogram<u64>, RecvTimeoutError> {
-        let wait = (self.timeline.next_at() - self.record.now()).clamp(0.0, MAX_STEP.as_secs_f64());
+        let wait = (self.timeline.next_at() - self.record.now()).clamp(0.0, MAX_TIMELINE_WAIT.as_secs_f64());
         lateness.recv_timeout(Duration::from_secs_f64(wait))
     }
 
@@ -325,7 +327,7 @@
         ends: &[End],
         machines: &[Machine],
         front_count: usize,
-        own: &OwnUsage,
+        own_usage: &OwnUsage,
     ) -> Report {
         let experiment = self.experiment;
         let (whole, windows) = by_window(ends, machines, experiment, load_end.counted_until);
@@ -345,8 +347,8 @@
             violations_count,
             lab: Lab {
                 lateness_ms,
-                cpu_share: own.cpu_share,
-                startup_s: own.startup_s,
+                cpu_share: own_usage.cpu_share,
+                startup_s: own_usage.startup_s,
                 memory_mb: peak_memory_mb(),
                 trusted: lateness_ms <= MOST_LATENESS_MS,
             },
@@ -354,7 +356,7 @@
         }
     }
 
-    /// How far proxies were behind the revisions of the list.
+    /// How far proxies lagged behind the revisions of the list.
     fn revisions(&self) -> Revisions {
         let is_proxied = self.experiment.proxies.dealer == Dealer::Proxy;
         let (lag, never) = lags(&self.record, if is_proxied { self.experiment.proxies.count } else { 0 });
@@ -383,19 +385,19 @@
     drawn.map_err(|error| RunError::Io(std::io::Error::other(error.to_string())))
 }
 
-/// This process's processor time, in seconds; 0 where the system does not say.
+/// The processor time of this process, in seconds; 0 where the system does not report it.
 fn cpu_seconds() -> f64 {
     usage::of_self().map_or(0.0, |usage| usage.processor.as_secs_f64())
 }
 
-/// The most memory that this process has held, in MB; 0 where the system does not say.
+/// The peak memory of this process, in MB; 0 where the system does not report it.
 fn peak_memory_mb() -> f64 {
     usage::of_self().map_or(0.0, |usage| usage.peak_kb as f64 / 1e3)
 }
 
-/// The proxy's program beside this one, or the one that cargo's release build leaves.
+/// The proxy's program in the directory of this program, or else that of cargo's release build.
 pub fn default_program() -> PathBuf {
     let executable = std::env::current_exe().ok();
-    let beside = executable.and_then(|path| Some(path.parent()?.join("linkhatch-proxy")));
-    beside.filter(|path| path.exists()).unwrap_or_else(|| Path::new("target/release/linkhatch-proxy").into())
+    let sibling = executable.and_then(|path| Some(path.parent()?.join("linkhatch-proxy")));
+    sibling.filter(|path| path.exists()).unwrap_or_else(|| Path::new("target/release/linkhatch-proxy").into())
 }
--- a/testbed/src/run/proxy_config.rs
+++ b/testbed/src/run/proxy_config.rs
@@ -1,10 +1,10 @@
-//! The configuration file of a proxy of a run, in the protocol's form.
+//! The configuration file of a proxy of a run, in the format of the protocol.
 
 use crate::model::Kind;
 use crate::spec::{Class, Effect, Experiment};
 use serde_json::{Value, json};
 
-/// The shortest drain grace that proxies are told, in milliseconds.
+/// The minimum drain grace that proxies are configured with, in milliseconds.
 const MIN_DRAIN_GRACE_MS: f64 = 50.0;
 
 /// Which proxy a configuration is for.
--- a/testbed/src/run/revision_tap.rs
+++ b/testbed/src/run/revision_tap.rs
@@ -6,10 +6,10 @@
 
 /// The JSON key of a list's revision.
 const REVISION_KEY: &[u8] = b"\"generation\":";
-/// Bytes behind the key that may still belong to the number: the digits of a 64-bit value, and space.
+/// The maximum number of bytes after the key that belong to the number: the digits of a 64-bit value, and white space.
 const MAX_NUMBER_LENGTH: usize = 24;
 
-/// A tap for the link from a list node to `proxy`, which records each revision in what passes.
+/// A tap for the link from a list node to `proxy`, which records each revision in the data that passes.
 pub(super) fn revision_tap(record: Arc<Record>, proxy: usize) -> Tap {
     let unread = Mutex::new(Vec::<u8>::new());
     Arc::new(move |piece: &[u8]| {
@@ -27,7 +27,7 @@
             }
             start = digits + count;
         }
-        // What may hold the beginning of the next key and number is retained.
+        // Retains the bytes that may contain the beginning of the next key and number.
         let retained = unread.len().saturating_sub(start).min(REVISION_KEY.len() + MAX_NUMBER_LENGTH);
         let consumed = unread.len() - retained;
         unread.drain(..consumed);
--- a/testbed/src/run/timeline.rs
+++ b/testbed/src/run/timeline.rs
@@ -1,4 +1,4 @@
-//! What is scheduled to happen during a run.
+//! The timeline of a run: its scheduled steps.
 
 use super::fleet::Target;
 use std::collections::BTreeMap;
@@ -31,25 +31,25 @@
         /// How long it stops, in seconds.
         duration: f64,
         /// When it is stopped for the last time, in seconds of the run.
-        until: f64,
+        ends_at: f64,
     },
-    /// A process beside a backend takes a part of its processor, every other second.
+    /// A process on the machine of a backend uses a part of its processor, every other second.
     NoisyNeighbour {
         /// The slot of the backend.
         slot: usize,
-        /// The part that is taken.
+        /// The part of the processor that is used.
         part: f64,
         /// When this ends, in seconds of the run.
-        until: f64,
-        /// Whether the next second is one in which the part is taken.
+        ends_at: f64,
+        /// Whether the part is used in the next second.
         active: bool,
     },
 }
 
-/// The steps that are due, in order of their time and then of their scheduling.
+/// The scheduled steps, ordered by their time and then by when they were scheduled.
 #[derive(Default)]
 pub(super) struct Timeline {
-    /// By time in microseconds, and number.
+    /// The steps by time in microseconds and number.
     steps: BTreeMap<(u64, u64), Step>,
     scheduled: u64,
 }
@@ -61,7 +61,7 @@
         self.steps.insert((micros(seconds), self.scheduled), step);
     }
 
-    /// Takes the next step that is due at `now`.
+    /// Removes and returns the next step that is due at `now`, in seconds of the run.
     pub fn pop_due(&mut self, now: f64) -> Option<Step> {
         let due = micros(now);
         let entry = self.steps.first_entry().filter(|entry| entry.key().0 <= due)?;
--- a/testbed/src/soak/oracle.rs
+++ b/testbed/src/soak/oracle.rs
@@ -8,34 +8,34 @@
 /// The settings of the soak's proxies that the checks depend on; times are in seconds.
 pub mod settings {
     /// The grace period of a drain.
-    pub const DRAIN_GRACE: f64 = 0.25;
+    pub const DRAIN_GRACE_S: f64 = 0.25;
     /// The window of the idempotency keys.
-    pub const WINDOW: f64 = 3.0;
+    pub const WINDOW_S: f64 = 3.0;
     /// How long a backend is in slow start.
-    pub const COLD: f64 = 3.0;
+    pub const COLD_S: f64 = 3.0;
     /// The fraction of its capacity that a backend has at the beginning of slow start.
     pub const COLD_SHARE: f64 = 0.1;
-    /// A backend in slow start fails when it receives this multiple of its capacity for `TIP_AFTER`.
+    /// A backend in slow start fails when it receives this multiple of its capacity for `TIP_AFTER_S`.
     pub const FALL_MULTIPLE: f64 = 3.0;
     /// How long the load must exceed that multiple for the backend to fail.
-    pub const TIP_AFTER: f64 = 1.0;
+    pub const TIP_AFTER_S: f64 = 1.0;
 }
 
 /// How far two readings of the clock for one event may differ on a busy machine, in seconds.
-const CLOCK_TOLERANCE: f64 = 0.05;
+const CLOCK_TOLERANCE_S: f64 = 0.05;
 /// A proxy counts as notified of a change this long after the change, or after discovery answers again, in seconds.
-const NOTIFICATION_TIMEOUT: f64 = 6.0;
+const NOTIFICATION_TIMEOUT_S: f64 = 6.0;
 /// How long after its client left an attempt may still begin, in seconds.
-const CANCEL_TOLERANCE: f64 = 0.1;
+const CANCEL_TOLERANCE_S: f64 = 0.1;
 /// How much more than the remaining time a proxy may report to a backend, in seconds.
-const DEADLINE_TOLERANCE: f64 = 0.15;
+const DEADLINE_TOLERANCE_S: f64 = 0.15;
 /// How long after the end of its budget a request may be answered, in seconds.
-const LATE_ANSWER_TOLERANCE: f64 = 0.5;
+const LATE_ANSWER_TOLERANCE_S: f64 = 0.5;
 /// How long a client must have seen a connection idle before a proxy may close it, in seconds; the tolerance for the
 /// client's clock is subtracted.
-const MIN_IDLE_TIMEOUT: f64 = 1.8;
+const MIN_IDLE_TIMEOUT_S: f64 = 1.8;
 /// How soon a proxy must answer or disconnect a peer that stops in the middle of a request, in seconds.
-const STALLED_PEER_TIMEOUT: f64 = 3.0;
+const STALLED_PEER_TIMEOUT_S: f64 = 3.0;
 /// The capacity of a warm backend as a multiple of the mean load of the run's backends.
 const CAPACITY_OVER_LOAD: f64 = 1.5;
 /// An overloaded cold start counts only if more than this part of the load came from proxies that were notified of it.
@@ -117,9 +117,9 @@
         }
         let elapsed = request.ended_at.duration_since(request.sent_at).as_secs_f64();
         let allowed = request.budget
-            + LATE_ANSWER_TOLERANCE
+            + LATE_ANSWER_TOLERANCE_S
             + self.suspended_for(request.proxy, request.sent_at, request.ended_at)
-            + CLOCK_TOLERANCE;
+            + CLOCK_TOLERANCE_S;
         let was_forwarded = self.attempts.contains_key(&request.id);
         let reason = match request.outcome {
             Outcome::Answered { is_own_body: false, .. } => "answered with a body that is not its own",
@@ -158,7 +158,7 @@
         let of_proxy = |span: &&Span| span.proxy == request.proxy;
         let mut stop_spans = self.ledger.stopped.iter().filter(of_proxy);
         let was_stopped = stop_spans.any(|span| span.from <= request.ended_at && span.to >= request.sent_at);
-        request.idle_for.is_some_and(|idle_for| was_stopped || idle_for >= MIN_IDLE_TIMEOUT)
+        request.idle_for.is_some_and(|idle_for| was_stopped || idle_for >= MIN_IDLE_TIMEOUT_S)
     }
 
     fn duplicate_run(&self, attempts: &[&Attempt]) -> Option<Violation> {
@@ -166,7 +166,7 @@
         let may_have_run: Vec<&&Attempt> = attempts.iter().filter(|attempt| !attempt.is_rejected).collect();
         let class = self.requests.get(&id).map_or(Class::Idempotent, |request| request.class);
         let first = may_have_run.iter().map(|attempt| attempt.started_at).min()?;
-        let window = Duration::from_secs_f64(settings::WINDOW + CLOCK_TOLERANCE);
+        let window = Duration::from_secs_f64(settings::WINDOW_S + CLOCK_TOLERANCE_S);
         let is_violation = match class {
             Class::Idempotent => false,
             Class::NonIdempotent => may_have_run.len() > 1,
@@ -189,7 +189,7 @@
                 self.format_time(attempt.started_at)
             )
         };
-        (excess > DEADLINE_TOLERANCE + CLOCK_TOLERANCE + suspended)
+        (excess > DEADLINE_TOLERANCE_S + CLOCK_TOLERANCE_S + suspended)
             .then(|| Violation { rule: "deadline", description: description() })
     }
 
@@ -200,7 +200,7 @@
             let last = attempts.iter().map(|attempt| attempt.started_at).max()?;
             let delay = last.checked_duration_since(*left_at)?.as_secs_f64();
             let allowed =
-                CANCEL_TOLERANCE + CLOCK_TOLERANCE + self.suspended_for(request.proxy, *left_at, last);
+                CANCEL_TOLERANCE_S + CLOCK_TOLERANCE_S + self.suspended_for(request.proxy, *left_at, last);
             let description = || {
                 format!(
                     "{id:016x}: attempt {delay:.3} s after its client left at {}",
@@ -225,7 +225,7 @@
                 reachable = span.to;
             }
         }
-        let latest = reachable + Duration::from_secs_f64(NOTIFICATION_TIMEOUT);
+        let latest = reachable + Duration::from_secs_f64(NOTIFICATION_TIMEOUT_S);
         sent.map_or(latest, |sent| sent.min(latest))
     }
 
@@ -239,7 +239,7 @@
             let notified_at = self.notified_at(request.proxy, drain);
             let Some(delay) = attempt.started_at.checked_duration_since(notified_at) else { continue };
             let suspended = self.suspended_for(request.proxy, notified_at, attempt.started_at);
-            if delay.as_secs_f64() > settings::DRAIN_GRACE + CLOCK_TOLERANCE + suspended {
+            if delay.as_secs_f64() > settings::DRAIN_GRACE_S + CLOCK_TOLERANCE_S + suspended {
                 let description = format!(
                     "{:016x} from proxy {} to backend {} {:.3} s after it was notified of the drain, at {}",
                     attempt.id,
@@ -258,10 +258,10 @@
         let is_violation = |peer: &&super::ledger::StalledPeer| {
             let end_or_never = peer.ended_at.unwrap_or(peer.connected_at + Duration::from_secs(60));
             let observed_until =
-                peer.ended_at.unwrap_or(peer.connected_at + Duration::from_secs_f64(STALLED_PEER_TIMEOUT));
+                peer.ended_at.unwrap_or(peer.connected_at + Duration::from_secs_f64(STALLED_PEER_TIMEOUT_S));
             let suspended = self.suspended_for(peer.proxy, peer.connected_at, observed_until);
             let elapsed = end_or_never.duration_since(peer.connected_at).as_secs_f64();
-            elapsed > STALLED_PEER_TIMEOUT + CLOCK_TOLERANCE + suspended
+            elapsed > STALLED_PEER_TIMEOUT_S + CLOCK_TOLERANCE_S + suspended
                 && !self.was_killed(peer.proxy, peer.connected_at, observed_until)
         };
         let description = |peer: &super::ledger::StalledPeer| {
@@ -293,17 +293,17 @@
                 self.ledger.attempts.iter().filter(of_backend).filter_map(timed).collect();
             sent.sort_by(|a, b| a.0.total_cmp(&b.0));
             let times: Vec<f64> = sent.iter().map(|(at, _)| *at).collect();
-            let cold = times.iter().filter(|t| **t < settings::COLD - settings::TIP_AFTER);
+            let cold = times.iter().filter(|t| **t < settings::COLD_S - settings::TIP_AFTER_S);
             let first_overload = cold.into_iter().find_map(|from| {
-                let progress = from / settings::COLD;
+                let progress = from / settings::COLD_S;
                 let ramp = settings::COLD_SHARE + (1.0 - settings::COLD_SHARE) * progress;
-                let expected = settings::FALL_MULTIPLE * ramp * capacity * settings::TIP_AFTER;
+                let expected = settings::FALL_MULTIPLE * ramp * capacity * settings::TIP_AFTER_S;
                 let allowed = if expected < 30.0 {
                     expected + 3.0 * expected.sqrt() + 3.0
                 } else {
                     expected + 2.0 * expected.sqrt() + 2.0
                 };
-                let window = *from..from + settings::TIP_AFTER;
+                let window = *from..from + settings::TIP_AFTER_S;
                 let in_window = sent.iter().filter(|(at, _)| window.contains(at));
                 let received = in_window.clone().count() as f64;
                 let notified = in_window.filter(|(_, was_notified)| *was_notified).count() as f64;
@@ -339,7 +339,7 @@
     /// Checks that a backend which is warm again receives load.
     fn starved(&self, backend: usize, started_at: Instant, times: &[f64]) -> Option<Violation> {
         let end = self.start + Duration::from_secs_f64(self.plan.seconds);
-        let from = settings::COLD + 1.0;
+        let from = settings::COLD_S + 1.0;
         let span = end.saturating_duration_since(started_at).as_secs_f64() - from;
         let disturbed = self.ledger.drains.iter().any(|drain| drain.backend == backend)
             || self
--- a/testbed/src/soak/signals.rs
+++ b/testbed/src/soak/signals.rs
@@ -59,8 +59,8 @@
         lock_ledger(&self.ledger).suspended.push(Span { proxy, from, to: Instant::now() });
     }
 
-    /// Stops a proxy by SIGTERM, with other signals before and after it, and restarts it. SIGKILL is sent as early as is
-    /// allowed; until then clients use the connections that stay open.
+    /// Stops a proxy by SIGTERM, with other signals before and after it, and restarts it. SIGKILL is sent as early
+    /// as is allowed; until then clients use the connections that stay open.
     pub(super) fn stop(
         &self,
         proxy: usize,
--- a/testbed/src/soak/stage.rs
+++ b/testbed/src/soak/stage.rs
@@ -44,7 +44,7 @@
 impl Harness {
     pub(super) fn config(&self, proxy: usize, discovery: SocketAddr) -> String {
         let class = |name: &str, effect: &str| {
-            json!({"name": name, "effect": effect, "group": "all", "window": settings::WINDOW,
+            json!({"name": name, "effect": effect, "group": "all", "window": settings::WINDOW_S,
                    "on-time": 0.5 * self.plan.deadline, "hard-limit": self.plan.deadline, "worth": 1.0})
         };
         let settings = json!({
@@ -54,9 +54,9 @@
                         class("send-batch", "guarded")],
             "me": proxy, "n-instances": self.plan.proxies, "quantum": 0.005, "registry-mode": "automatic",
             "projects": [{"name": "default", "quota-per-s": 100000.0}],
-            "rules": {"ask-within": 10.0, "cold": settings::COLD, "cold-share": settings::COLD_SHARE,
-                      "drain-grace": settings::DRAIN_GRACE, "fall-multiple": settings::FALL_MULTIPLE,
-                      "tip-after": settings::TIP_AFTER},
+            "rules": {"ask-within": 10.0, "cold": settings::COLD_S, "cold-share": settings::COLD_SHARE,
+                      "drain-grace": settings::DRAIN_GRACE_S, "fall-multiple": settings::FALL_MULTIPLE,
+                      "tip-after": settings::TIP_AFTER_S},
             "tier": 0, "zone": "a", "zones": ["a"]
         });
         json!({"name": format!("p{proxy}"), "seed": format!("{:016x}", self.plan.seed ^ proxy as u64),
--- a/testbed/tests/hard.rs
+++ b/testbed/tests/hard.rs
@@ -83,7 +83,7 @@
         .output()
         .expect("sh runs");
     assert_eq!(short.status.code(), Some(2), "{}", said(&short));
-    assert!(said(&short).contains("file descriptors are needed and 200 may be had"), "{}", said(&short));
+    assert!(said(&short).contains("file descriptors are needed, but the limit is 200"), "{}", said(&short));
     let program =
         Command::new(testbed_program()).args(["run", &file, "--proxy-binary", "/bin/false"]).output();
     let program = program.expect("fleet-testbed runs");
