--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -117,7 +117,7 @@
         cluster.start_node(fleet, leader, "").expect("the node starts again");
         cluster.agreed(revision, TIMEOUT);
     }
-    let decreases: usize = watchers.end().iter().map(|s| s.back).sum();
+    let decreases: usize = watchers.end().iter().map(|s| s.regressions).sum();
     delays.sort();
     println!(
         "leader failover ({LEADER_KILL_COUNT} times, elections after 250 to 500 ms without a leader): from \
