--- a/tests/fleet/replicated.rs
+++ b/tests/fleet/replicated.rs
@@ -1,5 +1,5 @@
 //! The list service on three nodes, with faults between them: no acknowledged write is lost, no watcher sees a lower
-//! revision than before, a minority rejects writes and states the staleness of its reads, and damage or loss of a disk is
+//! revision than before, a minority rejects writes and states the staleness of its reads, and a damaged or lost disk is
 //! reported.
 
 use crate::harness;
@@ -29,14 +29,14 @@
     SocketAddr::from(([127, 0, 0, 1], 20_000 + (n % 20_000) as u16))
 }
 
-/// Registers `id` at node `at`; returns the revision, if it was acknowledged.
+/// Registers `id` at the node at address `at`; returns the revision if the call was acknowledged.
 pub(crate) fn register(at: SocketAddr, id: &str, n: usize) -> Option<u64> {
     let (status, body) =
         registry::call(at, "POST", "/v1/register", &registration(id, address(n), LONG_TTL_MS))?;
     (status == 200).then(|| body["revision"].as_u64()).flatten()
 }
 
-/// The full list of one node: its revision and its ids.
+/// The full list of the node at address `at`: the revision and the ids.
 pub(crate) fn listed(at: SocketAddr) -> (u64, BTreeSet<String>) {
     let (status, list) =
         registry::call(at, "GET", "/api/targets", &Value::Null).expect("the list is answered");
@@ -46,7 +46,7 @@
     (list["generation"].as_u64().expect("a revision"), ids)
 }
 
-/// Writers that register one id after another through whichever node answers, until stopped.
+/// Writers that register one id after another until stopped; each uses the next node after a failed call.
 pub(crate) struct Writers {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<BTreeMap<String, u64>>>,
@@ -81,7 +81,7 @@
         Self { stop, threads, unacknowledged }
     }
 
-    /// Stops them; returns every acknowledged id with its revision, and how many calls were not acknowledged.
+    /// Stops the writers; returns every acknowledged id with its revision, and the number of unacknowledged calls.
     pub(crate) fn end(self) -> (BTreeMap<String, u64>, usize) {
         self.stop.store(true, Ordering::SeqCst);
         let all = self.threads.into_iter().flat_map(|t| t.join().expect("a writer ends")).collect();
@@ -89,8 +89,8 @@
     }
 }
 
-/// Asserts that each acknowledged id is on every node, and that no watcher saw a revision lower than one before or ended
-/// on another list than the nodes'.
+/// Asserts that every node lists each acknowledged id, and that no watcher saw the revision decrease or ended with a
+/// list that differs from the nodes'.
 fn assert_nothing_lost(cluster: &Cluster, acknowledged: &BTreeMap<String, u64>, seen: &[WatcherRecord]) {
     let last = acknowledged.values().copied().max().unwrap_or(1);
     let revision = cluster.agreed(last, TIMEOUT);
@@ -101,9 +101,9 @@
     let missing: Vec<_> = acknowledged.keys().filter(|id| !list.contains(*id)).collect();
     assert!(missing.is_empty(), "acknowledged and lost: {missing:?}");
     for (w, seen) in seen.iter().enumerate() {
-        assert_eq!(seen.regressions, 0, "watcher {w} saw a revision go back");
+        assert_eq!(seen.regressions, 0, "watcher {w} saw the revision decrease");
         if seen.revisions.last().is_some_and(|(r, _)| *r == revision) {
-            assert!(seen.list.keys().eq(list.iter()), "watcher {w} ends on another list");
+            assert!(seen.list.keys().eq(list.iter()), "watcher {w} ended with another list");
         }
     }
 }
@@ -120,15 +120,15 @@
     let writers = Writers::start(&cluster.fronts(), 3, Duration::from_millis(5));
     std::thread::sleep(Duration::from_millis(300));
 
-    let killed = Instant::now();
+    let killed_at = Instant::now();
     cluster.kill(leader);
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     let next = cluster.leader_of(&others, TIMEOUT);
-    let elected = killed.elapsed();
+    let elected = killed_at.elapsed();
     let after = register(cluster.front(next), "after", 2).expect("the new leader acknowledges");
-    let written = Instant::now();
+    let written_at = Instant::now();
     watchers.wait_for_revision(after, TIMEOUT);
-    let mut delays = watchers.delays(after, written);
+    let mut delays = watchers.delays(after, written_at);
     delays.sort();
     cluster.start_node(&mut fleet, leader, "").expect("the killed node starts again");
     let (acknowledged, unacknowledged) = writers.end();
@@ -136,14 +136,14 @@
     watchers.wait_for_revision(last, TIMEOUT);
     let seen = watchers.end();
     eprintln!(
-        "leader killed: next in {elected:?}, {} acknowledged, {unacknowledged} calls not; news after it to {WATCHERS} \
-         watchers p50 {:?} p99 {:?}",
+        "leader killed: next leader in {elected:?}, {} calls acknowledged, {unacknowledged} not; {WATCHERS} watchers \
+         notified of the next write in p50 {:?} p99 {:?}",
         acknowledged.len(),
         delays[WATCHERS / 2],
         delays[WATCHERS * 99 / 100]
     );
     assert_nothing_lost(&cluster, &acknowledged, &seen);
-    assert!(acknowledged.len() > 20, "writes went on: {}", acknowledged.len());
+    assert!(acknowledged.len() > 20, "too few writes: {}", acknowledged.len());
     fleet.check_deadline();
 }
 
@@ -151,18 +151,18 @@
 fn a_minority_rejects_writes_and_states_the_staleness_of_its_reads() {
     let mut fleet = harness::fleet(Duration::from_secs(60));
     let cluster = Cluster::start(&mut fleet, 3, "write_within_ms = 600");
-    let old = cluster.leader();
-    let before = register(cluster.front(old), "before", 1).expect("acknowledged");
+    let old_leader = cluster.leader();
+    let before = register(cluster.front(old_leader), "before", 1).expect("acknowledged");
     cluster.agreed(before, TIMEOUT);
 
-    cluster.isolate(old, Fault::BlackHole);
-    let cut = Instant::now();
-    let others: Vec<usize> = (0..3).filter(|n| *n != old).collect();
-    let new = cluster.leader_of(&others, TIMEOUT);
-    let elected = cut.elapsed();
-    let meanwhile = register(cluster.front(new), "meanwhile", 2).expect("the majority acknowledges");
+    cluster.isolate(old_leader, Fault::BlackHole);
+    let isolated_at = Instant::now();
+    let others: Vec<usize> = (0..3).filter(|n| *n != old_leader).collect();
+    let new_leader = cluster.leader_of(&others, TIMEOUT);
+    let elected = isolated_at.elapsed();
+    let meanwhile = register(cluster.front(new_leader), "meanwhile", 2).expect("the majority acknowledges");
     let (status, body) = registry::call(
-        cluster.front(old),
+        cluster.front(old_leader),
         "POST",
         "/v1/register",
         &registration("lost", address(3), LONG_TTL_MS),
@@ -170,21 +170,24 @@
     .expect("the minority answers");
     assert_eq!(status, 503, "{body}");
     assert!(["none", "unknown"].contains(&body["outcome"].as_str().unwrap_or("")), "{body}");
-    // Reads go on, on what was known before, and say how old that may be.
-    std::thread::sleep(Duration::from_millis(1_000).saturating_sub(cut.elapsed()));
-    assert_eq!(listed(cluster.front(old)), (before, BTreeSet::from(["before".to_string()])));
+    // Reads continue with the last known list, and state how old it may be.
+    std::thread::sleep(Duration::from_millis(1_000).saturating_sub(isolated_at.elapsed()));
+    assert_eq!(listed(cluster.front(old_leader)), (before, BTreeSet::from(["before".to_string()])));
     let age = |n| cluster.status(n).and_then(|s| s["age_ms"].as_u64()).expect("an age");
-    let (minority, majority) = (age(old), age(new));
-    assert!(minority >= 700 && majority < 500, "{minority} ms in the minority, {majority} in the majority");
+    let (minority_age_ms, majority_age_ms) = (age(old_leader), age(new_leader));
+    assert!(
+        minority_age_ms >= 700 && majority_age_ms < 500,
+        "{minority_age_ms} ms in the minority, {majority_age_ms} ms in the majority"
+    );
 
-    cluster.isolate(old, Fault::Pass);
-    let healed = Instant::now();
+    cluster.isolate(old_leader, Fault::Pass);
+    let healed_at = Instant::now();
     cluster.agreed(meanwhile, TIMEOUT);
     eprintln!(
-        "minority: next leader in {elected:?}, reads marked {minority} ms old, one again {:?} after healing",
-        healed.elapsed()
+        "minority: next leader in {elected:?}, reads marked {minority_age_ms} ms old, all nodes agree {:?} after healing",
+        healed_at.elapsed()
     );
-    let (_, list) = listed(cluster.front(old));
+    let (_, list) = listed(cluster.front(old_leader));
     assert!(list.contains("meanwhile"), "{list:?}");
     fleet.check_deadline();
 }
@@ -208,11 +211,11 @@
         .collect();
     let acknowledged: BTreeMap<String, u64> =
         clients.into_iter().flat_map(|c| c.join().unwrap_or_else(|_| Vec::new())).collect();
-    let took = start.elapsed();
-    eprintln!("burst: {} of {BURST} acknowledged in {took:?}", acknowledged.len());
+    let elapsed = start.elapsed();
+    eprintln!("burst: {} of {BURST} acknowledged in {elapsed:?}", acknowledged.len());
     assert_eq!(acknowledged.len(), BURST, "all are acknowledged");
     let revisions: BTreeSet<u64> = acknowledged.values().copied().collect();
-    assert_eq!(revisions.len(), BURST, "each made a revision of its own");
+    assert_eq!(revisions.len(), BURST, "each has its own revision");
     assert_nothing_lost(&cluster, &acknowledged, &[]);
     fleet.check_deadline();
 }
@@ -227,57 +230,61 @@
         last = register(cluster.front(leader), &format!("d-{n}"), n).expect("acknowledged");
     }
     cluster.agreed(last, TIMEOUT);
-    let lost = (leader + 1) % 3;
-    cluster.kill(lost);
+    let damaged = (leader + 1) % 3;
+    cluster.kill(damaged);
 
-    // Cut at a record's boundary: each record left reads well, but acknowledged ones are gone.
-    let log = cluster.data_dir(lost).join("raft.log");
-    let whole = std::fs::read(&log).expect("the log reads");
-    let (mut at, mut ends) = (0, Vec::new());
-    while at + 8 <= whole.len() {
-        at += 8 + u32::from_le_bytes(whole[at..at + 4].try_into().expect("four bytes")) as usize;
-        ends.push(at);
+    // The log is cut at a record boundary: the remaining records are valid, but acknowledged ones are missing.
+    let log = cluster.data_dir(damaged).join("raft.log");
+    let full_log = std::fs::read(&log).expect("the log reads");
+    let (mut offset, mut record_ends) = (0, Vec::new());
+    while offset + 8 <= full_log.len() {
+        offset +=
+            8 + u32::from_le_bytes(full_log[offset..offset + 4].try_into().expect("four bytes")) as usize;
+        record_ends.push(offset);
     }
-    std::fs::write(&log, &whole[..ends[ends.len() - 4]]).expect("the log is cut");
-    let told = |result: Result<(), StartError>, words: &[&str]| match result {
+    std::fs::write(&log, &full_log[..record_ends[record_ends.len() - 4]]).expect("the log is cut");
+    let assert_start_error = |result: Result<(), StartError>, words: &[&str]| match result {
         Err(StartError::Said(line)) => {
             assert!(words.iter().all(|w| line.contains(w)), "{line}");
         }
-        other => panic!("not told clearly: {other:?}"),
+        other => panic!("no clear start error: {other:?}"),
     };
-    told(cluster.start_node(&mut fleet, lost, ""), &["raft.log", "at byte", "acknowledged"]);
-    // The whole log again, and an unreadable snapshot beside it.
-    std::fs::write(&log, &whole).expect("the log is written back");
-    let snapshot = cluster.data_dir(lost).join("raft.snapshot");
+    assert_start_error(cluster.start_node(&mut fleet, damaged, ""), &["raft.log", "at byte", "acknowledged"]);
+    // The full log is restored, with an unreadable snapshot beside it.
+    std::fs::write(&log, &full_log).expect("the log is written back");
+    let snapshot = cluster.data_dir(damaged).join("raft.snapshot");
     std::fs::write(&snapshot, b"\x04\0\0\0\0\0\0\0junk").expect("a snapshot is written");
-    told(cluster.start_node(&mut fleet, lost, ""), &["raft.snapshot", "checksum"]);
+    assert_start_error(cluster.start_node(&mut fleet, damaged, ""), &["raft.snapshot", "checksum"]);
 
-    // The whole disk gone: the node hears that it has taken part before, and says so; it never votes.
-    std::fs::remove_dir_all(cluster.data_dir(lost)).expect("the disk is lost");
-    cluster.start_node(&mut fleet, lost, "").expect("it listens, and then asks");
-    let node = cluster.node(lost).expect("a process");
-    assert_eq!(node.wait_exit(TIMEOUT), Some(false), "it does not go on");
-    let said = node.log_lines().join("\n");
-    assert!(said.contains("is not the one by which node") && said.contains("/v1/cluster/forget"), "{said}");
+    // The whole disk is lost: the node learns that it has been a member before, reports this and never votes.
+    std::fs::remove_dir_all(cluster.data_dir(damaged)).expect("the disk is lost");
+    cluster.start_node(&mut fleet, damaged, "").expect("the node listens before it exits");
+    let node = cluster.node(damaged).expect("a process");
+    assert_eq!(node.wait_exit(TIMEOUT), Some(false), "the node exits with an error");
+    let log_text = node.log_lines().join("\n");
+    assert!(
+        log_text.contains("is not the one by which node") && log_text.contains("/v1/cluster/forget"),
+        "{log_text}"
+    );
 
-    // Forgotten and joined anew, it holds all that was acknowledged, and takes part again.
-    let forget = json!({"node": lost + 1});
+    // Forgotten and joined again, the node has every acknowledged write and is a member again.
+    let forget = json!({"node": damaged + 1});
     let (status, body) = registry::call(cluster.front(leader), "POST", "/v1/cluster/forget", &forget)
         .expect("the leader answers");
     assert_eq!(status, 200, "{body}");
-    std::fs::remove_dir_all(cluster.data_dir(lost)).expect("the new directory is emptied");
-    cluster.start_node(&mut fleet, lost, "join = true").expect("it starts");
-    let more = register(cluster.front(lost), "more", 30).expect("acknowledged through the joined node");
+    std::fs::remove_dir_all(cluster.data_dir(damaged)).expect("the new directory is emptied");
+    cluster.start_node(&mut fleet, damaged, "join = true").expect("it starts");
+    let more = register(cluster.front(damaged), "more", 30).expect("acknowledged through the joined node");
     cluster.agreed(more, TIMEOUT);
-    assert_eq!(listed(cluster.front(lost)).1.len(), 21);
+    assert_eq!(listed(cluster.front(damaged)).1.len(), 21);
     let deadline = Instant::now() + TIMEOUT;
     while cluster.status(leader).is_none_or(|s| s["members"] != json!([1, 2, 3])) {
-        assert!(Instant::now() < deadline, "a member again: {:?}", cluster.status(leader));
+        assert!(Instant::now() < deadline, "not a member again: {:?}", cluster.status(leader));
         std::thread::sleep(Duration::from_millis(20));
     }
-    // It counts in a quorum: with another node down, writes go on.
+    // The node counts in a quorum: with another node down, writes continue.
     cluster.kill((leader + 2) % 3);
-    let quorum = register(cluster.front(lost), "quorum", 31);
+    let quorum = register(cluster.front(damaged), "quorum", 31);
     assert!(quorum.is_some(), "two of three acknowledge");
     fleet.check_deadline();
 }
@@ -298,7 +305,7 @@
                 .expect("answered");
             assert_eq!(status, 200);
         }
-        // Past the jump on every node, nothing has lapsed; what then stops beating still lapses on time.
+        // After the jump on every node nothing has expired; a registration without heartbeats expires on time.
         std::thread::sleep(Duration::from_millis(1_800));
         assert_eq!(listed(at).1.len(), 2, "after a jump of {jump} s");
         let (status, _) =
@@ -307,31 +314,31 @@
         assert_eq!(status, 200);
         let started_at = Instant::now();
         while listed(at).1.contains("gone") {
-            assert!(started_at.elapsed() < TIMEOUT, "it never lapses");
+            assert!(started_at.elapsed() < TIMEOUT, "it never expires");
             std::thread::sleep(Duration::from_millis(10));
         }
-        let took = started_at.elapsed();
-        eprintln!("clock jump of {jump} s: lapsed after {took:?} (TTL {TTL_MS} ms)");
-        assert!(took >= Duration::from_millis(TTL_MS - 20), "lapsed early: {took:?}");
-        assert!(took < Duration::from_millis(TTL_MS + 400), "lapsed late: {took:?}");
+        let elapsed = started_at.elapsed();
+        eprintln!("clock jump of {jump} s: expired after {elapsed:?} (TTL {TTL_MS} ms)");
+        assert!(elapsed >= Duration::from_millis(TTL_MS - 20), "expired early: {elapsed:?}");
+        assert!(elapsed < Duration::from_millis(TTL_MS + 400), "expired late: {elapsed:?}");
         assert_eq!(listed(at).1.len(), 2);
         fleet.check_deadline();
     }
 }
 
-/// Registers the backends with a TTL that outlasts the test.
-fn list_backends(at: SocketAddr, backends: &[Backend]) -> u64 {
-    let listed = backends.iter().map(|b| {
+/// Registers the backends with a TTL that outlasts the test; returns the highest revision.
+fn register_backends(at: SocketAddr, backends: &[Backend]) -> u64 {
+    let revisions = backends.iter().map(|b| {
         registry::call(at, "POST", "/v1/register", &registration(b.name(), b.address(), LONG_TTL_MS))
             .filter(|(status, _)| *status == 200)
             .and_then(|(_, body)| body["revision"].as_u64())
             .expect("a backend is registered")
     });
-    listed.max().expect("backends")
+    revisions.max().expect("backends")
 }
 
-/// A proxy's configuration that knows no backend, with its list cached in `cache`.
-fn knows_nothing(me: usize, proxies: usize, cache: &std::path::Path) -> String {
+/// The configuration of a proxy that knows no backend and caches its list in `cache`.
+fn config_without_backends(me: usize, proxies: usize, cache: &std::path::Path) -> String {
     let empty = json!({"generation": 0, "reset": true, "instances": []});
     let config = harness::config(&harness::settings(me, proxies, 0.4), &empty, 0xca5e + me as u64);
     let mut config: Value = serde_json::from_str(&config).expect("a configuration");
@@ -339,26 +346,26 @@
     config.to_string()
 }
 
-/// All list-service nodes SIGKILLed for `DOWN_MS` (default 2 s, for CI) while traffic goes on: nothing is lost, a
-/// proxy restarted meanwhile serves at once on its list on disk, and the service comes back with every write.
+/// All list-service nodes are killed by SIGKILL for `DOWN_MS` (default 2 s, for CI) under traffic: no request is lost,
+/// a proxy restarted meanwhile serves at once with its list on disk, and the service comes back with every write.
 #[test]
 fn with_all_list_service_nodes_down_proxies_serve_and_one_starts_on_its_cached_list() {
     const PROXIES: usize = 3;
     const RESTARTED: usize = 0;
-    let down: u64 = std::env::var("DOWN_MS").ok().and_then(|r| r.parse().ok()).unwrap_or(2_000);
-    let mut fleet = harness::fleet(Duration::from_secs(60 + down / 1_000));
+    let down_ms: u64 = std::env::var("DOWN_MS").ok().and_then(|r| r.parse().ok()).unwrap_or(2_000);
+    let mut fleet = harness::fleet(Duration::from_secs(60 + down_ms / 1_000));
     let mut cluster = Cluster::start(&mut fleet, 3, "");
     let leader = cluster.leader();
     let backends: Vec<Backend> = (0..4)
         .map(|n| Backend::start(&format!("b-{n}"), Duration::from_millis(10)).expect("a backend starts"))
         .collect();
-    let before = list_backends(cluster.front(leader), &backends[..3]);
+    let before = register_backends(cluster.front(leader), &backends[..3]);
     let caches = fleet.scratch("caches");
     std::fs::create_dir_all(&caches).expect("a directory for caches");
     let cache = |n: usize| caches.join(format!("list-{n}.json"));
     let mut proxies: Vec<Process> = (0..PROXIES)
         .map(|me| {
-            let config = knows_nothing(me, PROXIES, &cache(me));
+            let config = config_without_backends(me, PROXIES, &cache(me));
             fleet.proxy_of(&config, &cluster.fronts()).expect("a proxy starts")
         })
         .collect();
@@ -369,7 +376,7 @@
         serde_json::from_str::<Value>(&text).ok().and_then(|list| list["generation"].as_u64()).unwrap_or(0)
     };
     while (0..PROXIES).any(|n| cached(n) < before) {
-        assert!(Instant::now() < deadline, "the lists are cached");
+        assert!(Instant::now() < deadline, "the lists are not cached in time");
         std::thread::sleep(Duration::from_millis(20));
     }
     let relays: Vec<Relay> =
@@ -382,36 +389,36 @@
         remaining_ms: 1_500,
         pause: Duration::from_millis(5),
     };
-    let served = |records: &[client::Record]| {
+    let served_share = |records: &[client::Record]| {
         let broken: Vec<_> = records.iter().filter(|r| !matches!(r.outcome, Outcome::Answered(_))).collect();
-        assert!(broken.is_empty(), "requests without a proper end: {broken:?}");
+        assert!(broken.is_empty(), "requests without a complete answer: {broken:?}");
         records.iter().filter(|r| r.outcome == Outcome::Answered(200)).count() as f64 / records.len() as f64
     };
-    let up_share = served(&client::run(&front, load(down.min(5_000), 100_000)));
+    let up_share = served_share(&client::run(&front, load(down_ms.min(5_000), 100_000)));
 
     (0..3).for_each(|n| cluster.kill(n));
-    let killed = Instant::now();
-    // A proxy restarted now knows only what is on its disk.
+    let killed_at = Instant::now();
+    // A proxy restarted now has only the list on its disk.
     front.mark_down(RESTARTED);
     proxies[RESTARTED].kill();
-    let config = knows_nothing(RESTARTED, PROXIES, &cache(RESTARTED));
+    let config = config_without_backends(RESTARTED, PROXIES, &cache(RESTARTED));
     let restarted = fleet.proxy_of(&config, &cluster.fronts()).expect("the proxy starts again");
-    let alone = Front::new(vec![restarted.address()]);
-    let cold = client::run(&alone, load(TIMEOUT.as_millis() as u64, 30));
-    let cold_share = served(&cold);
-    let records = client::run(&front, load(down, 1_000_000));
-    let down_share = served(&records);
-    let down_for = killed.elapsed();
+    let restarted_front = Front::new(vec![restarted.address()]);
+    let restarted_records = client::run(&restarted_front, load(TIMEOUT.as_millis() as u64, 30));
+    let restarted_share = served_share(&restarted_records);
+    let records = client::run(&front, load(down_ms, 1_000_000));
+    let down_share = served_share(&records);
+    let down_for = killed_at.elapsed();
 
     (0..3).for_each(|n| cluster.start_node(&mut fleet, n, "").expect("a node starts again"));
     let leader = cluster.leader();
     let (revision, list) = listed(cluster.front(leader));
     assert_eq!((revision, list.len()), (before, 3), "every acknowledged write is back");
-    // News reaches every proxy again.
-    let after = list_backends(cluster.front(leader), &backends[3..]);
+    // Changes reach every proxy again.
+    let after = register_backends(cluster.front(leader), &backends[3..]);
     let deadline = Instant::now() + TIMEOUT;
     while (0..PROXIES).any(|n| cached(n) < after) {
-        assert!(Instant::now() < deadline, "proxies hear of the service's return");
+        assert!(Instant::now() < deadline, "proxies receive no change after the service's return");
         std::thread::sleep(Duration::from_millis(20));
     }
     eprintln!(
@@ -419,18 +426,18 @@
         100.0 * down_share,
         records.len(),
         100.0 * up_share,
-        100.0 * cold_share,
-        cold.len()
+        100.0 * restarted_share,
+        restarted_records.len()
     );
-    assert!(down_share >= up_share - 0.005, "served {down_share} down, {up_share} up");
-    assert!(cold_share >= 0.95, "the restarted proxy served {cold_share}");
+    assert!(down_share >= up_share - 0.005, "served share {down_share} while down, {up_share} while up");
+    assert!(restarted_share >= 0.95, "the restarted proxy served a share of {restarted_share}");
     let _ = std::fs::remove_dir_all(&caches);
     fleet.check_deadline();
 }
 
-/// Proxies whose nodes all restart come back spread out, and make no more than `MAX_CALLS_PER_S` calls a second each
-/// while there is nobody to answer. Drawn over 300 ms, 50 ms hold 7 of the 40 on average and a first repeat or
-/// two; two thirds of all is six standard deviations above that, where a herd would be all of them.
+/// When all nodes are down and restart, proxies reconnect spread over time, and each makes at most `MAX_CALLS_PER_S`
+/// calls a second while no node answers. The delays are drawn over 300 ms, so 50 ms contain 7 of the 40 on average and
+/// one or two repeats; two thirds of all is six standard deviations above that, and a thundering herd would be all.
 #[test]
 fn watchers_that_lost_all_nodes_reconnect_spread_over_time() {
     const PROXIES: usize = 40;
@@ -440,7 +447,7 @@
     let mut cluster = Cluster::start(&mut fleet, 3, "");
     let leader = cluster.leader();
     let backend = Backend::start("b-0", Duration::from_millis(10)).expect("a backend starts");
-    list_backends(cluster.front(leader), std::slice::from_ref(&backend));
+    register_backends(cluster.front(leader), std::slice::from_ref(&backend));
     let empty = json!({"generation": 0, "reset": true, "instances": []});
     let _proxies: Vec<Process> = (0..PROXIES)
         .map(|me| {
@@ -450,20 +457,20 @@
         .collect();
     let watching =
         |cluster: &Cluster| -> u64 { (0..3).filter_map(|n| cluster.status(n)?["watching"].as_u64()).sum() };
-    let all_watch = |cluster: &Cluster| {
+    let wait_until_all_watch = |cluster: &Cluster| {
         let started_at = Instant::now();
         while watching(cluster) < PROXIES as u64 {
             assert!(started_at.elapsed() < TIMEOUT, "{} of {PROXIES} watch", watching(cluster));
             std::thread::sleep(Duration::from_millis(20));
         }
     };
-    all_watch(&cluster);
+    wait_until_all_watch(&cluster);
     let shares: Vec<u64> = (0..3).filter_map(|n| cluster.status(n)?["watching"].as_u64()).collect();
 
-    let killed = Instant::now();
+    let killed_at = Instant::now();
     (0..3).for_each(|n| cluster.kill(n));
     std::thread::sleep(Duration::from_millis(2_000));
-    let came = |from: Instant| -> Vec<Instant> {
+    let connections_since = |from: Instant| -> Vec<Instant> {
         let times = |n: usize| {
             let counts = cluster.front_relay(n).counts();
             counts.times.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
@@ -472,31 +479,32 @@
         all.sort();
         all
     };
-    let tries = came(killed);
-    let per_s = tries.len() as f64 / PROXIES as f64 / killed.elapsed().as_secs_f64();
-    let peak = |times: &[Instant]| {
+    let connections = connections_since(killed_at);
+    let calls_per_s = connections.len() as f64 / PROXIES as f64 / killed_at.elapsed().as_secs_f64();
+    let max_within_window = |times: &[Instant]| {
         let within = |t: &Instant| times.iter().filter(|o| **o >= *t && **o < *t + WINDOW).count();
         times.iter().map(within).max().unwrap_or(0)
     };
-    let peak_down = peak(&tries);
+    let max_while_down = max_within_window(&connections);
     (0..3).for_each(|n| cluster.start_node(&mut fleet, n, "").expect("a node starts again"));
-    let restarted = Instant::now();
+    let restarted_at = Instant::now();
     cluster.leader();
-    all_watch(&cluster);
+    wait_until_all_watch(&cluster);
     eprintln!(
-        "{PROXIES} proxies on three nodes {shares:?}: with all down {per_s:.1} calls a second each, at most \
-         {peak_down} within {WINDOW:?}; all watch {:?} after the restart",
-        restarted.elapsed()
+        "{PROXIES} proxies on three nodes {shares:?}: with all down {calls_per_s:.1} calls/s each, at most \
+         {max_while_down} within {WINDOW:?}; all watch {:?} after the restart",
+        restarted_at.elapsed()
     );
-    assert!(shares.iter().all(|s| *s >= PROXIES as u64 / 10), "they share out over the nodes: {shares:?}");
-    assert!(peak_down <= PROXIES * 2 / 3, "{peak_down} of {PROXIES} within {WINDOW:?}");
-    assert!(per_s <= MAX_CALLS_PER_S, "{per_s} calls a second each");
+    assert!(shares.iter().all(|s| *s >= PROXIES as u64 / 10), "unevenly spread over the nodes: {shares:?}");
+    assert!(max_while_down <= PROXIES * 2 / 3, "{max_while_down} of {PROXIES} within {WINDOW:?}");
+    assert!(calls_per_s <= MAX_CALLS_PER_S, "{calls_per_s} calls/s each");
     fleet.check_deadline();
 }
 
-/// One randomized run: three nodes, writers and watchers, and `FAULTS` faults one after another, each lifted
-/// before the next; at the end all nodes are up and agree.
-fn one_run(run: u64) -> (usize, usize, usize) {
+/// One randomized run: three nodes, writers and watchers, and `FAULTS` faults one after another, each lifted before the
+/// next; at the end all nodes are up and agree. Returns the numbers of acknowledged writes, of unacknowledged calls and
+/// of answers to watchers.
+fn randomized_run(run: u64) -> (usize, usize, usize) {
     const FAULTS: usize = 3;
     let mut rng = SmallRng::seed_from_u64(0x11a7_0000 + run);
     let mut fleet = harness::fleet(Duration::from_secs(90));
@@ -504,47 +512,47 @@
     cluster.leader();
     let watchers = Watchers::start(&cluster.fronts(), 12);
     let writers = Writers::start(&cluster.fronts(), 3, Duration::from_millis(10));
-    let pass = |rng: &mut SmallRng, ms: std::ops::Range<u64>| {
+    let sleep = |rng: &mut SmallRng, ms: std::ops::Range<u64>| {
         std::thread::sleep(Duration::from_millis(rng.random_range(ms)));
     };
     for _ in 0..FAULTS {
-        pass(&mut rng, 50..250);
-        // Half of the faults strike the node that leads, as far as it can be told.
-        let leads = (0..3).find(|n| cluster.status(*n).is_some_and(|s| s["leader"] == s["node"]));
-        let n = leads.filter(|_| rng.random_bool(0.5)).unwrap_or(rng.random_range(0..3));
+        sleep(&mut rng, 50..250);
+        // Half of the faults hit the leader, if one is known.
+        let leader = (0..3).find(|n| cluster.status(*n).is_some_and(|s| s["leader"] == s["node"]));
+        let n = leader.filter(|_| rng.random_bool(0.5)).unwrap_or(rng.random_range(0..3));
         let other = (n + rng.random_range(1..3)) % 3;
         match rng.random_range(0..6) {
             0 => {
                 cluster.kill(n);
-                pass(&mut rng, 50..600);
+                sleep(&mut rng, 50..600);
                 cluster.start_node(&mut fleet, n, "").expect("it starts again");
             }
             1 => {
                 let signal = |cluster: &mut Cluster, s| cluster.node(n).map(|p| p.signal(s));
                 signal(&mut cluster, Signal::SIGSTOP);
-                pass(&mut rng, 100..900);
+                sleep(&mut rng, 100..900);
                 signal(&mut cluster, Signal::SIGCONT);
             }
             2 => {
                 cluster.isolate(n, Fault::BlackHole);
-                pass(&mut rng, 100..900);
+                sleep(&mut rng, 100..900);
                 cluster.isolate(n, Fault::Pass);
             }
             3 => {
-                // One way: it hears and is not heard.
+                // One way: the node receives messages, and those that it sends are lost.
                 cluster.link(n, other, Fault::BlackHole);
                 cluster.link(n, (3 - n - other) % 3, Fault::BlackHole);
-                pass(&mut rng, 100..900);
+                sleep(&mut rng, 100..900);
                 cluster.isolate(n, Fault::Pass);
             }
             4 => {
                 cluster.isolate(n, Fault::Delay(Duration::from_millis(rng.random_range(20..150))));
-                pass(&mut rng, 100..900);
+                sleep(&mut rng, 100..900);
                 cluster.isolate(n, Fault::Pass);
             }
             _ => {
                 (0..3).for_each(|n| cluster.kill(n));
-                pass(&mut rng, 50..300);
+                sleep(&mut rng, 50..300);
                 (0..3).for_each(|n| cluster.start_node(&mut fleet, n, "").expect("it starts again"));
             }
         }
@@ -560,20 +568,20 @@
 }
 
 /// Randomized faults: kills, pauses, partitions both ways and one way, delays, and all nodes killed at once.
-/// `REGISTRY_RUNS` sets how many runs (default 4, for CI), on 4 threads; seeded, so that each run's schedule is
-/// the same every time.
+/// `REGISTRY_RUNS` sets the number of runs (default 4, for CI), on 4 threads. Each run is seeded, so that its schedule
+/// is the same every time.
 #[test]
 fn randomized_faults_lose_no_acknowledged_write_and_lower_no_revision() {
     const THREADS: u64 = 4;
     let runs: u64 = std::env::var("REGISTRY_RUNS").ok().and_then(|r| r.parse().ok()).unwrap_or(4);
-    let figures = Arc::new(Mutex::new(Vec::new()));
+    let results = Arc::new(Mutex::new(Vec::new()));
     let workers: Vec<_> = (0..THREADS)
         .map(|worker| {
-            let figures = figures.clone();
+            let results = results.clone();
             std::thread::spawn(move || {
                 for run in (worker..runs).step_by(THREADS as usize) {
-                    let one = one_run(run);
-                    figures.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push(one);
+                    let result = randomized_run(run);
+                    results.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push(result);
                 }
             })
         })
@@ -581,15 +589,15 @@
     for (w, worker) in workers.into_iter().enumerate() {
         assert!(worker.join().is_ok(), "a run of worker {w} failed");
     }
-    let figures = figures.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let sum = |f: fn(&(usize, usize, usize)) -> usize| figures.iter().map(f).sum::<usize>();
+    let results = results.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let sum = |f: fn(&(usize, usize, usize)) -> usize| results.iter().map(f).sum::<usize>();
     eprintln!(
         "{} randomized runs: {} writes acknowledged, none lost; {} calls not acknowledged; {} answers to \
-         watchers, no revision back",
-        figures.len(),
+         watchers, no revision decreased",
+        results.len(),
         sum(|f| f.0),
         sum(|f| f.1),
         sum(|f| f.2)
     );
-    assert_eq!(figures.len() as u64, runs);
+    assert_eq!(results.len() as u64, runs);
 }
