--- a/tests/fleet/slow_disk.rs
+++ b/tests/fleet/slow_disk.rs
@@ -18,20 +18,20 @@
 const FLEET_DEADLINE: Duration = Duration::from_secs(60);
 const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The environment in which each sync takes `sync`.
+/// The environment variables with which each sync takes `sync`.
 fn slow_syncs(sync: Duration) -> Vec<(String, String)> {
     let ms = sync.as_millis();
     let rules = vec![format!("sync={ms}..{ms}ms@1:0-600000")];
     SyscallFaults { rules, seed: 1, ..SyscallFaults::default() }.environment()
 }
 
-/// The system's monotonic clock, from which the rules' times can count.
+/// The monotonic clock in nanoseconds; the times of the rules can count from such a value.
 fn monotonic_ns() -> u64 {
     let now = clock_gettime(ClockId::CLOCK_MONOTONIC).expect("the monotonic clock");
     now.tv_sec() as u64 * 1_000_000_000 + now.tv_nsec() as u64
 }
 
-/// Registers by `writers` writers at once at the leader for `duration`; what was acknowledged, with its revisions.
+/// Registers at the leader for `duration` by `writers` writers at once; returns the acknowledged ids with revisions.
 fn write_for(cluster: &Cluster, writers: usize, duration: Duration) -> BTreeMap<String, u64> {
     let leader = cluster.front(cluster.leader());
     let running = Writers::start(&[leader], writers, Duration::ZERO);
@@ -39,7 +39,7 @@
     running.end().0
 }
 
-/// Asserts that every node lists what was acknowledged.
+/// Asserts that every node lists each acknowledged id.
 fn assert_listed(cluster: &Cluster, acknowledged: &BTreeMap<String, u64>) {
     cluster.agreed(acknowledged.values().copied().max().unwrap_or(1), AGREEMENT_TIMEOUT);
     for n in 0..cluster.size() {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Guards against syncs one after the other: a write that waits for the leader's and then for a follower's.
+/// Guards against sequential syncs: a write that waits for the leader's sync and then for a follower's.
 #[test]
 fn a_write_takes_little_more_than_one_sync() {
     const SYNC: Duration = Duration::from_millis(50);
@@ -67,7 +67,7 @@
     }
     latencies.sort();
     let median = latencies[WRITES / 2];
-    eprintln!("a write at syncs of {SYNC:?}: median {median:?}");
+    eprintln!("writes with syncs of {SYNC:?}: median latency {median:?}");
     assert!(median >= SYNC, "acknowledged before it was durable: {median:?}");
     assert!(median < SYNC.mul_f64(1.3), "{median:?}");
     fleet.check_deadline();
@@ -85,46 +85,49 @@
     let acknowledged = write_for(&cluster, WRITERS, DURATION);
     let syncs = DURATION.div_duration_f64(SYNC);
     let per_sync = acknowledged.len() as f64 / syncs;
-    eprintln!("{WRITERS} writers at syncs of {SYNC:?}: {per_sync:.1} writes a sync");
-    assert!(per_sync > WRITERS as f64 / 4.0, "{per_sync} writes a sync");
+    eprintln!("{WRITERS} writers with syncs of {SYNC:?}: {per_sync:.1} writes per sync");
+    assert!(per_sync > WRITERS as f64 / 4.0, "{per_sync} writes per sync");
     assert_listed(&cluster, &acknowledged);
     fleet.check_deadline();
 }
 
-/// Guards against elections that overtake each other, where the votes of one need longer than an election timeout.
+/// Guards against elections that each start before the votes of the last one have arrived, when votes take longer than
+/// an election timeout.
 #[test]
 fn a_leader_is_elected_and_replaced_while_votes_take_longer_than_an_election_timeout() {
-    // Twice that, here and at the voter, is over the shortest election timeout of 250 ms.
+    // Two of them, one at the candidate and one at the voter, exceed the shortest election timeout of 250 ms.
     const SYNC: Duration = Duration::from_millis(200);
     let mut fleet = harness::fleet(FLEET_DEADLINE);
     fleet.set_environment(slow_syncs(SYNC));
     let started_at = Instant::now();
     let mut cluster = Cluster::start(&mut fleet, 3, "");
     let first = cluster.leader();
-    let elected = started_at.elapsed();
+    let elected_after = started_at.elapsed();
     let revision = register(cluster.front(first), "before", 1).expect("acknowledged");
     cluster.agreed(revision, AGREEMENT_TIMEOUT);
     let killed_at = Instant::now();
     cluster.kill(first);
     let others: Vec<usize> = (0..3).filter(|n| *n != first).collect();
     let next = cluster.leader_of(&others, AGREEMENT_TIMEOUT);
-    let replaced = killed_at.elapsed();
-    eprintln!("syncs of {SYNC:?}: a leader after {elected:?}, the next after {replaced:?}");
+    let replaced_after = killed_at.elapsed();
+    eprintln!(
+        "syncs of {SYNC:?}: first leader after {elected_after:?}, next leader after {replaced_after:?}"
+    );
     register(cluster.front(next), "after", 2).expect("acknowledged by the next leader");
     assert!(listed(cluster.front(next)).1.contains("before"));
     fleet.check_deadline();
 }
 
-/// Guards against a TTL that has begun to run before the caller knows of its registration.
+/// Guards against a TTL that starts before the registration is answered.
 #[test]
-fn a_registration_lives_its_ttl_from_its_answer_however_long_the_disk_took() {
+fn a_registration_expires_one_ttl_after_its_answer_however_slow_the_disk_is() {
     const SYNC_MS: u64 = 400;
     const SLOW_FROM_MS: u64 = 1_500;
     const SLOW_TO_MS: u64 = 1_900;
     const TTL: Duration = Duration::from_millis(800);
     /// The bounds of `replicated::clocks_that_jump_by_an_hour_neither_expire_nor_extend_registrations`.
-    const EARLY: Duration = Duration::from_millis(20);
-    const LATE: Duration = Duration::from_millis(400);
+    const EARLY_TOLERANCE: Duration = Duration::from_millis(20);
+    const LATE_TOLERANCE: Duration = Duration::from_millis(400);
     let mut fleet = harness::fleet(FLEET_DEADLINE);
     let rules = vec![format!("sync={SYNC_MS}..{SYNC_MS}ms@1:{SLOW_FROM_MS}-{SLOW_TO_MS}")];
     let (epoch_ns, epoch) = (Some(monotonic_ns()), Instant::now());
@@ -144,18 +147,18 @@
         assert!(answered_at.elapsed() < AGREEMENT_TIMEOUT, "it never expires");
         std::thread::sleep(Duration::from_millis(10));
     }
-    let lived = answered_at.elapsed();
+    let expired_after = answered_at.elapsed();
     let _ = std::fs::remove_dir_all(&dir);
-    eprintln!("answered after {:?}, expired {lived:?} later (TTL {TTL:?})", answered_at - called_at);
-    assert!(lived >= TTL - EARLY, "expired early: {lived:?}");
-    assert!(lived < TTL + LATE, "expired late: {lived:?}");
+    eprintln!("answered after {:?}, expired {expired_after:?} later (TTL {TTL:?})", answered_at - called_at);
+    assert!(expired_after >= TTL - EARLY_TOLERANCE, "expired early: {expired_after:?}");
+    assert!(expired_after < TTL + LATE_TOLERANCE, "expired late: {expired_after:?}");
     fleet.check_deadline();
 }
 
-/// Starts three nodes of which each has one stall of its disk, `interval` after the one before; returns when the first
-/// begins.
+/// Starts three nodes whose disks stall once each, `interval` apart; returns the cluster and the time of the first
+/// stall.
 fn cluster_with_stalls(fleet: &mut Fleet, stall: Duration, interval: Duration) -> (Cluster, Instant) {
-    /// A sync that begins in this time is the one that stalls.
+    /// A sync that starts within this time stalls.
     const WINDOW: Duration = Duration::from_millis(100);
     const FIRST_STALL: Duration = Duration::from_secs(5);
     let mut cluster = Cluster::start(fleet, 3, "");
@@ -172,21 +175,21 @@
     (cluster, epoch + FIRST_STALL)
 }
 
-/// Guards against a leader that keeps its place while its disk stalls, so that nobody's writes are acknowledged.
+/// Guards against a leader that stays leader while its disk stalls, so that no write is acknowledged.
 #[test]
 fn a_leader_whose_disk_stalls_is_replaced_and_loses_nothing() {
     const STALL: Duration = Duration::from_secs(3);
     const INTERVAL: Duration = Duration::from_secs(6);
-    /// Half an election timeout (the stall counts), two election timeouts and a call that was given up.
+    /// Half an election timeout until the stall counts, two election timeouts and one call that timed out.
     const MAX_GAP: Duration = Duration::from_millis(2_500);
     let mut fleet = harness::fleet(FLEET_DEADLINE);
     let (cluster, first_stall) = cluster_with_stalls(&mut fleet, STALL, INTERVAL);
     let leader = cluster.leader();
     let stalls_at = first_stall + INTERVAL * leader as u32;
     std::thread::sleep(stalls_at.saturating_duration_since(Instant::now() + Duration::from_millis(500)));
-    assert_eq!(cluster.leader(), leader, "it still leads when its disk stalls");
+    assert_eq!(cluster.leader(), leader, "the node no longer leads when its disk stalls");
     let writers = Writers::start(&cluster.fronts(), 3, Duration::from_millis(5));
-    // The time until another leads, seen by one more writer at the other nodes.
+    // One more writer, at the other nodes, measures the time until another node leads.
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     let (mut longest_gap, mut last_answer, mut n) = (Duration::ZERO, Instant::now(), 0);
     while Instant::now() < stalls_at + STALL {
@@ -206,24 +209,24 @@
         acknowledged.len()
     );
     assert!(longest_gap > Duration::from_millis(100), "the leader's disk did not stall");
-    assert!(longest_gap < MAX_GAP, "writes stood still for {longest_gap:?}");
+    assert!(longest_gap < MAX_GAP, "no write was acknowledged for {longest_gap:?}");
     assert_listed(&cluster, &acknowledged);
     fleet.check_deadline();
 }
 
-/// What callers got from one cluster.
+/// The measured figures of one cluster.
 struct Measured {
-    /// Writes a second, median and 99th percentile latency, by the number of writers.
+    /// The number of writers, writes per second, median and 99th percentile latency.
     by_writers: Vec<(usize, f64, Duration, Duration)>,
-    /// Renewals that failed, of all.
+    /// Failed renewals and all renewals.
     renewals: (usize, usize),
-    /// Times that a renewed lease was lost.
+    /// How often a renewed lease was lost.
     leases_lost: usize,
-    /// From the leader's kill to the next leader.
+    /// Time from the leader's kill to the next leader.
     next_leader: Duration,
 }
 
-/// Writes for `duration` by `writers` writers at once; the latency of each acknowledged write, sorted.
+/// Writes for `duration` by `writers` writers at once; returns the sorted latencies of the acknowledged writes.
 fn write_latencies(at: SocketAddr, writers: usize, duration: Duration) -> Vec<Duration> {
     let end = Instant::now() + duration;
     let threads: Vec<_> = (0..writers)
@@ -249,39 +252,40 @@
     all
 }
 
-/// Renews a backend and a lease until `stop`; renewals that failed, all renewals, and how often the lease was lost.
+/// Renews a backend and a lease until `stop` is set; returns the numbers of failed renewals, of all renewals and of
+/// lost leases.
 fn renew_until(stop: &AtomicBool, at: SocketAddr) -> (usize, usize, usize) {
     const INTERVAL: Duration = Duration::from_millis(100);
-    let acquire = json!({"holder": "h", "name": "duty", "ttlMs": 1_000});
-    let token =
-        || call(at, "POST", "/v1/lease/acquire", &acquire).and_then(|(_, body)| body["token"].as_u64());
-    let (mut held, mut failed, mut all, mut lost) = (token(), 0, 0, 0);
+    let request = json!({"holder": "h", "name": "duty", "ttlMs": 1_000});
+    let acquire_token =
+        || call(at, "POST", "/v1/lease/acquire", &request).and_then(|(_, body)| body["token"].as_u64());
+    let (mut token, mut failed, mut total, mut lost) = (acquire_token(), 0, 0, 0);
     while !stop.load(Ordering::SeqCst) {
-        let grant = json!({"name": "duty", "token": held});
+        let grant = json!({"name": "duty", "token": token});
         for (path, body) in
             [("/v1/heartbeat", &json!({"instanceId": "renewed"})), ("/v1/lease/keepalive", &grant)]
         {
             let status = call(at, "POST", path, body).map(|(status, _)| status);
-            all += 1;
+            total += 1;
             failed += usize::from(status != Some(200));
             if status == Some(409) {
                 lost += 1;
-                held = token();
+                token = acquire_token();
             }
         }
         std::thread::sleep(INTERVAL);
     }
-    (failed, all, lost)
+    (failed, total, lost)
 }
 
-/// Measures three nodes of which `slow` have disks whose syncs take `sync`.
-fn measure(sync: Duration, slow: usize) -> Measured {
+/// Measures three nodes, `slow_nodes` of which have disks whose syncs take `sync`.
+fn measure(sync: Duration, slow_nodes: usize) -> Measured {
     const DURATION: Duration = Duration::from_secs(2);
     let mut fleet = harness::fleet(FLEET_DEADLINE);
     let mut cluster = Cluster::start(&mut fleet, 3, "");
     cluster.leader();
     fleet.set_environment(slow_syncs(sync));
-    for n in 0..slow {
+    for n in 0..slow_nodes {
         cluster.kill(n);
         cluster.start_node(&mut fleet, n, "").expect("the node starts again");
         cluster.leader();
@@ -294,11 +298,12 @@
     let renewing = std::thread::spawn(move || renew_until(&stopped, at));
     let by_writers = [1, 3, 64].map(|writers| {
         let latencies = write_latencies(at, writers, DURATION);
-        let at = |part: usize| latencies.get(latencies.len() * part / 100).copied().unwrap_or(Duration::MAX);
-        (writers, latencies.len() as f64 / DURATION.as_secs_f64(), at(50), at(99))
+        let percentile =
+            |part: usize| latencies.get(latencies.len() * part / 100).copied().unwrap_or(Duration::MAX);
+        (writers, latencies.len() as f64 / DURATION.as_secs_f64(), percentile(50), percentile(99))
     });
     stop.store(true, Ordering::SeqCst);
-    let (failed, all, leases_lost) = renewing.join().expect("it ends");
+    let (failed, all, leases_lost) = renewing.join().expect("the thread ends");
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     let killed_at = Instant::now();
     cluster.kill(leader);
