--- a/tests/fleet/crowds.rs
+++ b/tests/fleet/crowds.rs
@@ -1,5 +1,5 @@
-//! Crowds: many more clients than a proxy has places for, who connect, do little and stay. Beside them, clients that
-//! keep their connections and use them lose no request and are served, and the proxy stays within its descriptors.
+//! Crowds: many more clients than a proxy admits connect, do little and stay. Beside them, clients that keep using
+//! their connections lose no request and are served, and the proxy stays within its limit of descriptors.
 
 use crate::harness;
 use crate::harness::backend::Backend;
@@ -23,47 +23,47 @@
 use tokio::task::LocalSet;
 use tokio::time::MissedTickBehavior;
 
-/// The descriptors that the proxy may hold, by its configuration and by its system.
+/// The limit of the proxy's open descriptors, in its configuration and in the system.
 const MAX_DESCRIPTORS: usize = 256;
-/// The connections of clients that a proxy with so many descriptors keeps; 13 more are accepted to be rejected.
-const PLACES: usize = 111;
-/// The most connections of a crowd at a time, waiting ones included.
-const MAX_CROWD: usize = 10 * PLACES;
-/// New connections of a crowd at once, each [`BURST_INTERVAL`]: more than there are places, and 300 a second.
-const BURST: usize = 150;
+/// The client connections that a proxy with this limit admits; 13 more are accepted to be rejected.
+const MAX_CLIENT_CONNECTIONS: usize = 111;
+/// Maximum number of connections of a crowd at a time, waiting ones included.
+const MAX_CROWD: usize = 10 * MAX_CLIENT_CONNECTIONS;
+/// New connections of a crowd at once, every [`BURST_INTERVAL`]: more than the proxy admits, and 300 a second.
+const BURST_SIZE: usize = 150;
 const BURST_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a crowd is there, beside the clients.
-const CROWD_TIME: Duration = Duration::from_secs(6);
-/// How long the clients have been served when a crowd comes.
-const TIME_BEFORE_CROWD: Duration = Duration::from_millis(500);
-/// Clients of each pace.
+/// How long a crowd stays beside the clients.
+const CROWD_DURATION: Duration = Duration::from_secs(6);
+/// How long the clients are served before a crowd comes.
+const DURATION_BEFORE_CROWD: Duration = Duration::from_millis(500);
+/// Number of clients of each pace.
 const CLIENTS: u64 = 8;
 const BACKENDS: usize = 2;
 const SERVICE_TIME: Duration = Duration::from_millis(5);
-/// How long a backend may leave a connection idle, as the settings say, in seconds.
+/// The idle timeout of backend connections in the settings, in seconds.
 const BACKEND_IDLE_CLOSE_S: f64 = 2.0;
-/// The pause of a busy client between two requests, in milliseconds.
-const PAUSE_MS: RangeInclusive<u64> = 4..=12;
-/// The rest of a resting client between two requests, in milliseconds: well under [`REST`].
-const REST_MS: RangeInclusive<u64> = 200..=1200;
+/// Pause of a busy client between two requests, in milliseconds.
+const BUSY_PAUSE_MS: RangeInclusive<u64> = 4..=12;
+/// Pause of a pausing client between two requests, in milliseconds: well under [`MIN_IDLE_BEFORE_CLOSE`].
+const PAUSING_PAUSE_MS: RangeInclusive<u64> = 200..=1200;
 /// `X-Remaining-Ms` of every request.
 const REMAINING_MS: u64 = 1000;
-/// How long after its time a request may still be answered.
-const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// How long a connection must have rested before a proxy may close it.
-const REST: Duration = Duration::from_secs(2);
-/// Of the requests of the clients of each pace, at least so many in a hundred are served.
+/// How long after its deadline a request may still be answered.
+const ANSWER_TOLERANCE: Duration = Duration::from_millis(500);
+/// How long a connection must have been idle before a proxy may close it.
+const MIN_IDLE_BEFORE_CLOSE: Duration = Duration::from_secs(2);
+/// Minimum share of served requests among the clients of each pace, in percent.
 const MIN_SERVED_PERCENT: usize = 95;
-/// Fewer requests of all clients say too little: they have not run, or have waited for the machine.
+/// Fewer requests of all clients prove too little: the clients did not run, or the machine was overloaded.
 const MIN_REQUESTS: usize = 1000;
 /// How often the proxy's descriptors are counted.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(15);
-/// How soon after a crowd has left its descriptors are free again.
-const RECOVERY_TIME: Duration = Duration::from_secs(4);
-/// How many descriptors more than before may be open after a crowd.
+/// How soon after a crowd has left its descriptors must be free again.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(4);
+/// How many more descriptors than before may be open after a crowd.
 const MAX_EXTRA_DESCRIPTORS: usize = 8;
-/// What the log says where the proxy is out of descriptors.
-pub const SHORTAGES: [&str; 4] = ["accept:", "accept failed", "cannot connect", "os error 24"];
+/// Texts in the log of a proxy that is out of descriptors.
+pub const SHORTAGE_TEXTS: [&str; 4] = ["accept:", "accept failed", "cannot connect", "os error 24"];
 
 static NEXT_ID: AtomicU64 = AtomicU64::new(0xc0_0000);
 
@@ -72,14 +72,14 @@
     (number, format!("{number:016x}"))
 }
 
-/// A proxy with few descriptors, and what it needs.
-struct Stage {
+/// A proxy with few descriptors, its backends and its discovery.
+struct Setup {
     proxy: Service,
     backends: Vec<Backend>,
     _discovery: Discovery,
 }
 
-impl Stage {
+impl Setup {
     /// Returns once the proxy is ready.
     fn start(name: &str) -> Self {
         let backends: Vec<Backend> = (0..BACKENDS)
@@ -102,25 +102,25 @@
             discovery.agent(0),
             MAX_DESCRIPTORS,
         );
-        let _ = std::fs::remove_file(path); // it has been read
+        let _ = std::fs::remove_file(path); // the proxy has read it
         wait_until_ready(proxy.address());
         Self { proxy, backends, _discovery: discovery }
     }
 
-    /// The requests that have reached a backend.
+    /// The ids of the requests that have reached a backend.
     fn forwarded(&self) -> HashSet<String> {
         assert!(self.backends.iter().all(|backend| backend.overflowed() == 0), "all requests are recorded");
         self.backends.iter().flat_map(Backend::seen).map(|seen| seen.txn).collect()
     }
 
-    /// The most descriptors that the proxy holds within this time, or up to its end.
-    fn max_descriptors(&mut self, time: Duration) -> usize {
-        let (deadline, mut most) = (Instant::now() + time, 0);
+    /// The maximum number of the proxy's open descriptors within `duration`, or until it exits.
+    fn max_descriptors(&mut self, duration: Duration) -> usize {
+        let (deadline, mut maximum) = (Instant::now() + duration, 0);
         while Instant::now() < deadline && self.proxy.is_running() {
-            most = most.max(self.proxy.open_files());
+            maximum = maximum.max(self.proxy.open_files());
             std::thread::sleep(SAMPLE_INTERVAL);
         }
-        most
+        maximum
     }
 }
 
@@ -133,7 +133,7 @@
         http::read(&mut BufReader::new(stream)).ok().filter(|answer| answer.status() == 200)
     };
     while is_ready().is_none() {
-        assert!(Instant::now() < deadline, "the proxy is ready in time");
+        assert!(Instant::now() < deadline, "the proxy is not ready in time");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -141,21 +141,21 @@
 /// How a request of a client ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum End {
-    /// 200 with the request's own id.
+    /// 200 with the request's id.
     Served,
-    /// 200 without it.
-    Wrong,
+    /// 200 without the request's id.
+    WrongId,
     /// 429 or 503.
     Rejected,
     /// Another status.
     Failed(u16),
-    /// No new connection came up.
+    /// No new connection could be opened.
     NotConnected,
-    /// Its connection, a new one, was closed without an answer. The request is lost if it reached a backend.
+    /// A new connection was closed without an answer. The request is lost if it reached a backend.
     ClosedNew(ReadError),
-    /// Its connection had rested for [`REST`] and was closed without an answer.
-    ClosedRested,
-    /// Its connection, just used, was closed without an answer: the request is lost.
+    /// A connection that had been idle for [`MIN_IDLE_BEFORE_CLOSE`] was closed without an answer.
+    ClosedIdle,
+    /// A recently used connection was closed without an answer: the request is lost.
     ClosedInUse(ReadError),
     /// No answer came in time: the request is lost.
     Unanswered,
@@ -166,15 +166,15 @@
 enum Pace {
     /// One request shortly after another.
     Busy,
-    /// With rests in which its connection may not be closed.
-    Rests,
+    /// With pauses in which its connection may not be closed.
+    Pausing,
 }
 
 impl Pace {
     fn pause(self, random: &mut SmallRng) -> Duration {
         let range = match self {
-            Self::Busy => PAUSE_MS,
-            Self::Rests => REST_MS,
+            Self::Busy => BUSY_PAUSE_MS,
+            Self::Pausing => PAUSING_PAUSE_MS,
         };
         Duration::from_millis(random.random_range(range))
     }
@@ -185,23 +185,23 @@
 struct Record {
     id: String,
     pace: Pace,
-    /// How long its connection had been idle, unless it was a new one.
-    rested: Option<Duration>,
+    /// How long the connection had been idle; `None` for a new one.
+    idle_time: Option<Duration>,
     end: End,
-    took: Duration,
+    latency: Duration,
 }
 
 /// A client that keeps its connection and sends one request after another.
 struct Client {
     address: SocketAddr,
     pace: Pace,
-    /// Its connection, and when it was last used.
-    held: Option<(BufReader<TcpStream>, Instant)>,
+    /// The connection, and when it was last used.
+    open_connection: Option<(BufReader<TcpStream>, Instant)>,
     random: SmallRng,
 }
 
 impl Client {
-    /// Sends requests until the client is told to stop.
+    /// Sends requests until `stop` is set.
     fn run(mut self, stop: &AtomicBool) -> Vec<Record> {
         let mut records = Vec::new();
         while !stop.load(Ordering::SeqCst) {
@@ -212,41 +212,42 @@
         records
     }
 
-    /// Sends one request, and opens a connection where there is none.
+    /// Sends one request, on a new connection if none is open.
     fn request(&mut self, kind: Kind) -> Record {
         let (number, id) = next_id();
         let text = client::request_text(kind, &id, number, REMAINING_MS);
-        let timeout = Duration::from_millis(REMAINING_MS) + ANSWER_SLACK;
-        let (pace, held, start) = (self.pace, self.held.take(), Instant::now());
-        let rested = held.as_ref().map(|(_, used)| start.duration_since(*used));
-        let connection = held.map(|(connection, _)| connection).or_else(|| connect(self.address, timeout));
-        let record = |end, took| Record { id: id.clone(), pace, rested, end, took };
+        let timeout = Duration::from_millis(REMAINING_MS) + ANSWER_TOLERANCE;
+        let (pace, open_connection, start) = (self.pace, self.open_connection.take(), Instant::now());
+        let idle_time = open_connection.as_ref().map(|(_, last_used)| start.duration_since(*last_used));
+        let connection =
+            open_connection.map(|(connection, _)| connection).or_else(|| connect(self.address, timeout));
+        let record = |end, latency| Record { id: id.clone(), pace, idle_time, end, latency };
         let Some(mut connection) = connection else { return record(End::NotConnected, start.elapsed()) };
-        let sent = Instant::now();
-        // Where this fails, the proxy may have answered before: what it sent is read.
+        let sent_at = Instant::now();
+        // Even if this fails, an answer that the proxy sent before may still be read.
         let _ = connection.get_mut().write_all(text.as_bytes());
         let answer = http::read(&mut connection);
-        let took = sent.elapsed();
+        let latency = sent_at.elapsed();
         let end = match &answer {
-            _ if took >= timeout => End::Unanswered,
+            _ if latency >= timeout => End::Unanswered,
             Ok(answer) => end_of(answer, &id),
-            Err(error) => match rested {
+            Err(error) => match idle_time {
                 None => End::ClosedNew(*error),
-                Some(rested) if rested >= REST => End::ClosedRested,
+                Some(idle_time) if idle_time >= MIN_IDLE_BEFORE_CLOSE => End::ClosedIdle,
                 Some(_) => End::ClosedInUse(*error),
             },
         };
         if answer.is_ok_and(|answer| !answer.closes()) {
-            self.held = Some((connection, Instant::now()));
+            self.open_connection = Some((connection, Instant::now()));
         }
-        record(end, took)
+        record(end, latency)
     }
 }
 
 fn end_of(answer: &Message, id: &str) -> End {
     match answer.status() {
         200 if answer.body.starts_with(id.as_bytes()) => End::Served,
-        200 => End::Wrong,
+        200 => End::WrongId,
         429 | 503 => End::Rejected,
         status => End::Failed(status),
     }
@@ -259,7 +260,7 @@
     Some(BufReader::new(stream))
 }
 
-/// The clients that keep their connections, each in a thread of its own.
+/// The clients that keep using their connections, one thread each.
 struct Clients {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<Vec<Record>>>,
@@ -269,8 +270,9 @@
     fn start(address: SocketAddr) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let start = |seed| {
-            let pace = if seed < CLIENTS { Pace::Busy } else { Pace::Rests };
-            let client = Client { address, pace, held: None, random: SmallRng::seed_from_u64(seed) };
+            let pace = if seed < CLIENTS { Pace::Busy } else { Pace::Pausing };
+            let client =
+                Client { address, pace, open_connection: None, random: SmallRng::seed_from_u64(seed) };
             let stop = stop.clone();
             std::thread::spawn(move || client.run(&stop))
         };
@@ -278,35 +280,35 @@
         Self { stop, threads }
     }
 
-    /// All requests, once the last one has ended.
+    /// Stops the clients; returns all requests once the last one has ended.
     fn stop(self) -> Vec<Record> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().flat_map(|thread| thread.join().expect("a client ends")).collect()
     }
 }
 
-/// What each member of a crowd does before it falls silent and stays.
+/// What each member of a crowd sends before it stays idle.
 #[derive(Clone, Copy, Debug)]
-enum Habit {
-    /// It sends a request and reads the answer.
-    AsksOnce,
-    /// It sends a part of a request's head.
-    SendsHalfAHead,
-    SendsNothing,
+enum Behaviour {
+    /// Sends one request and reads the answer.
+    OneRequest,
+    /// Sends a part of a request's head.
+    PartialHead,
+    Nothing,
 }
 
-impl Habit {
-    fn opening(self, number: u64, id: &str) -> String {
+impl Behaviour {
+    fn first_bytes(self, number: u64, id: &str) -> String {
         let request = client::request_text(Kind::Status, id, number, REMAINING_MS);
         match self {
-            Self::AsksOnce => request,
-            Self::SendsHalfAHead => request[..request.len() / 2].to_string(),
-            Self::SendsNothing => String::new(),
+            Self::OneRequest => request,
+            Self::PartialHead => request[..request.len() / 2].to_string(),
+            Self::Nothing => String::new(),
         }
     }
 }
 
-/// What has happened to a crowd.
+/// Counts of a crowd's connections and answers.
 #[derive(Debug, Default)]
 struct CrowdFigures {
     connected: usize,
@@ -314,74 +316,81 @@
     rejected: usize,
     /// Other answers.
     failed: usize,
-    wrong: usize,
+    wrong_id: usize,
     /// Connections that the proxy closed.
     closed: usize,
-    /// The ids of the requests of those that it closed without an answer.
+    /// The ids of the requests on connections that the proxy closed without an answer.
     closed_unanswered: Vec<String>,
 }
 
-/// A crowd, all of it in one thread. A member whose connection the proxy closes is replaced.
+/// A crowd, which runs in one thread. A member whose connection the proxy closes is replaced.
 struct Crowd {
-    leave: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     thread: JoinHandle<CrowdFigures>,
 }
 
 impl Crowd {
-    fn gather(address: SocketAddr, habit: Habit) -> Self {
-        let leave = Arc::new(AtomicBool::new(false));
-        let told = leave.clone();
+    fn start(address: SocketAddr, behaviour: Behaviour) -> Self {
+        let stop = Arc::new(AtomicBool::new(false));
+        let stop_flag = stop.clone();
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let figures = Rc::new(RefCell::new(CrowdFigures::default()));
             // The members' connections are closed when their tasks are dropped with the set.
-            LocalSet::new()
-                .block_on(&runtime.expect("a runtime"), stay(address, habit, &told, figures.clone()));
+            LocalSet::new().block_on(
+                &runtime.expect("a runtime"),
+                add_members(address, behaviour, &stop_flag, figures.clone()),
+            );
             figures.take()
         });
-        Self { leave, thread }
+        Self { stop, thread }
     }
 
-    /// Has it leave, and returns once all its connections are closed.
-    fn leave(self) -> CrowdFigures {
-        self.leave.store(true, Ordering::SeqCst);
+    /// Stops the crowd; returns once all its connections are closed.
+    fn stop(self) -> CrowdFigures {
+        self.stop.store(true, Ordering::SeqCst);
         self.thread.join().expect("the crowd leaves")
     }
 }
 
-/// Adds members at a fixed rate, up to the most, until the crowd is to leave.
-async fn stay(address: SocketAddr, habit: Habit, leave: &AtomicBool, figures: Rc<RefCell<CrowdFigures>>) {
+/// Adds members at a fixed rate, up to [`MAX_CROWD`], until `stop` is set.
+async fn add_members(
+    address: SocketAddr,
+    behaviour: Behaviour,
+    stop: &AtomicBool,
+    figures: Rc<RefCell<CrowdFigures>>,
+) {
     let open = Rc::new(Cell::new(0));
     let mut ticks = tokio::time::interval(BURST_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    while !leave.load(Ordering::SeqCst) {
+    while !stop.load(Ordering::SeqCst) {
         ticks.tick().await;
-        for _ in 0..BURST.min(MAX_CROWD - open.get()) {
+        for _ in 0..BURST_SIZE.min(MAX_CROWD - open.get()) {
             open.set(open.get() + 1);
             let (open, figures) = (open.clone(), figures.clone());
             tokio::task::spawn_local(async move {
-                attend(address, habit, &figures).await;
+                run_member(address, behaviour, &figures).await;
                 open.set(open.get() - 1);
             });
         }
     }
 }
 
-/// One member: connects, does as its habit says, and stays until the proxy closes the connection.
-async fn attend(address: SocketAddr, habit: Habit, figures: &RefCell<CrowdFigures>) {
+/// One member: connects, sends its first bytes and stays until the proxy closes the connection.
+async fn run_member(address: SocketAddr, behaviour: Behaviour, figures: &RefCell<CrowdFigures>) {
     let Ok(stream) = tokio::net::TcpStream::connect(address).await else { return };
     figures.borrow_mut().connected += 1;
     let (number, id) = next_id();
     let mut connection = Conn::new(stream);
-    // Where this fails, the connection has ended, which is read.
-    let _ = connection.write(habit.opening(number, &id).as_bytes()).await;
+    // If this fails, the connection has ended, and so does the read.
+    let _ = connection.write(behaviour.first_bytes(number, &id).as_bytes()).await;
     let mut is_answered = false;
     while let Ok(answer) = connection.read().await {
         is_answered = true;
         let mut figures = figures.borrow_mut();
         match end_of(&answer, &id) {
             End::Served => figures.served += 1,
-            End::Wrong => figures.wrong += 1,
+            End::WrongId => figures.wrong_id += 1,
             End::Rejected => figures.rejected += 1,
             _ => figures.failed += 1,
         }
@@ -393,11 +402,11 @@
     }
 }
 
-/// What a test has seen.
+/// The results of one run.
 struct Outcome {
     records: Vec<Record>,
     crowd: CrowdFigures,
-    /// The requests that reached a backend.
+    /// The ids of the requests that reached a backend.
     forwarded: HashSet<String>,
     max_descriptors: usize,
     log: Vec<String>,
@@ -406,7 +415,7 @@
 
 impl Outcome {
     /// The requests of the clients of this pace.
-    fn of(&self, pace: Pace) -> Vec<&Record> {
+    fn records_of(&self, pace: Pace) -> Vec<&Record> {
         self.records.iter().filter(|record| record.pace == pace).collect()
     }
 
@@ -419,19 +428,19 @@
         }
     }
 
-    /// The crowd's requests that reached a backend and were closed without an answer.
+    /// The number of the crowd's requests that reached a backend and whose connection was closed without an answer.
     fn lost_of_crowd(&self) -> usize {
         self.crowd.closed_unanswered.iter().filter(|id| self.forwarded.contains(*id)).count()
     }
 
-    fn print(&self, habit: Habit) {
-        for pace in [Pace::Busy, Pace::Rests] {
-            self.print_clients(habit, pace);
+    fn print(&self, behaviour: Behaviour) {
+        for pace in [Pace::Busy, Pace::Pausing] {
+            self.print_clients(behaviour, pace);
         }
         let crowd = &self.crowd;
         eprintln!(
-            "{habit:?}: crowd: {} connections, {} served, {} rejected, {} failed, {} closed, {} of them without an \
-             answer, {} lost; {} descriptors at most",
+            "{behaviour:?}: crowd: {} connections, {} served, {} rejected, {} failed, {} closed, {} of them without an \
+             answer, {} lost; at most {} descriptors",
             crowd.connected,
             crowd.served,
             crowd.rejected,
@@ -443,44 +452,56 @@
         );
     }
 
-    fn print_clients(&self, habit: Habit, pace: Pace) {
-        let records = self.of(pace);
-        let count = |wanted: fn(&End) -> bool| records.iter().filter(|record| wanted(&record.end)).count();
+    fn print_clients(&self, behaviour: Behaviour, pace: Pace) {
+        let records = self.records_of(pace);
+        let count =
+            |matches_end: fn(&End) -> bool| records.iter().filter(|record| matches_end(&record.end)).count();
         let lost: Vec<_> = records.iter().filter(|record| self.is_lost(record)).collect();
         eprintln!(
-            "{habit:?}: {pace:?} clients: {} requests, {} served, {} rejected, {} failed, {} lost after rests of up \
-             to {:?}; closed: {} in use, \
-             {} new, {} rested; {} unanswered; longest {:?}",
+            "{behaviour:?}: {pace:?} clients: {} requests, {} served, {} rejected, {} failed, {} lost after pauses of \
+             up to {:?}; closed: {} in use, {} new, {} idle; {} unanswered; longest latency {:?}",
             records.len(),
             count(|end| *end == End::Served),
             count(|end| *end == End::Rejected),
             count(|end| matches!(end, End::Failed(_) | End::NotConnected)),
             lost.len(),
-            lost.iter().filter_map(|record| record.rested).max().unwrap_or_default(),
+            lost.iter().filter_map(|record| record.idle_time).max().unwrap_or_default(),
             count(|end| matches!(end, End::ClosedInUse(_))),
             count(|end| matches!(end, End::ClosedNew(_))),
-            count(|end| *end == End::ClosedRested),
+            count(|end| *end == End::ClosedIdle),
             count(|end| *end == End::Unanswered),
-            records.iter().map(|record| record.took).max().unwrap_or_default()
+            records.iter().map(|record| record.latency).max().unwrap_or_default()
         );
     }
 
     fn check(&self) {
-        assert!(self.is_running, "the proxy runs: {:?}", self.log);
-        assert!(self.records.len() >= MIN_REQUESTS, "the clients ran: {} requests", self.records.len());
-        assert!(self.crowd.connected >= MAX_CROWD, "the crowd came: {} connections", self.crowd.connected);
+        assert!(self.is_running, "the proxy has exited: {:?}", self.log);
+        assert!(
+            self.records.len() >= MIN_REQUESTS,
+            "too few requests of the clients: {}",
+            self.records.len()
+        );
+        assert!(
+            self.crowd.connected >= MAX_CROWD,
+            "too few connections of the crowd: {}",
+            self.crowd.connected
+        );
         let shortages: Vec<&String> =
-            self.log.iter().filter(|line| SHORTAGES.iter().any(|said| line.contains(said))).collect();
+            self.log.iter().filter(|line| SHORTAGE_TEXTS.iter().any(|text| line.contains(text))).collect();
         assert!(shortages.is_empty(), "out of descriptors: {shortages:?}");
-        // One that holds as many as its system allows is about to be refused another.
+        // A proxy at the limit of the system could open no further descriptor.
         assert!(self.max_descriptors < MAX_DESCRIPTORS, "{} descriptors", self.max_descriptors);
-        let wrong: Vec<_> = self.records.iter().filter(|record| record.end == End::Wrong).collect();
-        assert!(wrong.is_empty() && self.crowd.wrong == 0, "another's answers: {wrong:?}, {:?}", self.crowd);
+        let wrong_id: Vec<_> = self.records.iter().filter(|record| record.end == End::WrongId).collect();
+        assert!(
+            wrong_id.is_empty() && self.crowd.wrong_id == 0,
+            "answers to other requests: {wrong_id:?}, {:?}",
+            self.crowd
+        );
         assert_eq!(self.lost_of_crowd(), 0, "requests of the crowd that reached a backend and were lost");
         let lost: Vec<_> = self.records.iter().filter(|record| self.is_lost(record)).collect();
         assert!(lost.is_empty(), "{} requests of the clients lost, first {:?}", lost.len(), lost.first());
-        for pace in [Pace::Busy, Pace::Rests] {
-            let records = self.of(pace);
+        for pace in [Pace::Busy, Pace::Pausing] {
+            let records = self.records_of(pace);
             let (sent, served) =
                 (records.len(), records.iter().filter(|record| record.end == End::Served).count());
             assert!(served * 100 >= sent * MIN_SERVED_PERCENT, "{pace:?}: {served} of {sent} served");
@@ -488,72 +509,72 @@
     }
 }
 
-/// Plays a crowd beside clients that keep their connections, and checks what they are owed.
-fn play(habit: Habit) {
-    let mut stage = Stage::start(&format!("{habit:?}"));
-    let address = stage.proxy.address();
+/// Runs a crowd beside clients that keep using their connections, and checks the results.
+fn run_test(behaviour: Behaviour) {
+    let mut setup = Setup::start(&format!("{behaviour:?}"));
+    let address = setup.proxy.address();
     let clients = Clients::start(address);
-    let most_before = stage.max_descriptors(TIME_BEFORE_CROWD);
-    let crowd = Crowd::gather(address, habit);
-    let most_beside = stage.max_descriptors(CROWD_TIME);
+    let max_before = setup.max_descriptors(DURATION_BEFORE_CROWD);
+    let crowd = Crowd::start(address, behaviour);
+    let max_beside = setup.max_descriptors(CROWD_DURATION);
     let records = clients.stop();
     let outcome = Outcome {
         records,
-        crowd: crowd.leave(),
-        forwarded: stage.forwarded(),
-        max_descriptors: most_before.max(most_beside),
-        log: stage.proxy.log_lines(),
-        is_running: stage.proxy.is_running(),
+        crowd: crowd.stop(),
+        forwarded: setup.forwarded(),
+        max_descriptors: max_before.max(max_beside),
+        log: setup.proxy.log_lines(),
+        is_running: setup.proxy.is_running(),
     };
-    outcome.print(habit);
+    outcome.print(behaviour);
     outcome.check();
 }
 
-/// Guards against a used connection that is evicted because the crowd's have been idle for a shorter time.
+/// Guards against the eviction of a used connection because the crowd's have been idle for a shorter time.
 #[test]
 fn clients_that_keep_their_connections_are_served_beside_a_crowd_that_asks_once_and_stays() {
-    play(Habit::AsksOnce);
+    run_test(Behaviour::OneRequest);
 }
 
-/// Guards against a crowd whose incomplete heads count as requests, so that it keeps all places.
+/// Guards against a crowd whose incomplete heads count as requests, so that none of its connections is evicted.
 #[test]
 fn clients_that_keep_their_connections_are_served_beside_a_crowd_that_never_finishes_a_head() {
-    play(Habit::SendsHalfAHead);
+    run_test(Behaviour::PartialHead);
 }
 
-/// Guards against newcomers that need do nothing to have a used connection evicted.
+/// Guards against new connections that evict a used one although they send nothing.
 #[test]
 fn clients_that_keep_their_connections_are_served_beside_a_crowd_that_sends_nothing() {
-    play(Habit::SendsNothing);
+    run_test(Behaviour::Nothing);
 }
 
-/// Guards against descriptors that stay open, or places that stay taken, after a crowd.
+/// Guards against descriptors that stay open, or admitted connections that stay counted, after a crowd.
 #[test]
-fn a_proxy_is_as_before_soon_after_a_crowd_has_left() {
-    const CROWD_TIME: Duration = Duration::from_millis(1500);
-    for habit in [Habit::AsksOnce, Habit::SendsHalfAHead, Habit::SendsNothing] {
-        let mut stage = Stage::start(&format!("left-{habit:?}"));
-        let address = stage.proxy.address();
-        let before = stage.max_descriptors(TIME_BEFORE_CROWD);
-        let crowd = Crowd::gather(address, habit);
-        let beside = stage.max_descriptors(CROWD_TIME);
-        let connected = crowd.leave().connected;
-        let left = Instant::now();
-        let mut after = stage.proxy.open_files();
-        while after > before + MAX_EXTRA_DESCRIPTORS && left.elapsed() < RECOVERY_TIME {
+fn a_proxy_recovers_soon_after_a_crowd_has_left() {
+    const CROWD_DURATION: Duration = Duration::from_millis(1500);
+    for behaviour in [Behaviour::OneRequest, Behaviour::PartialHead, Behaviour::Nothing] {
+        let mut setup = Setup::start(&format!("left-{behaviour:?}"));
+        let address = setup.proxy.address();
+        let before = setup.max_descriptors(DURATION_BEFORE_CROWD);
+        let crowd = Crowd::start(address, behaviour);
+        let beside = setup.max_descriptors(CROWD_DURATION);
+        let connected = crowd.stop().connected;
+        let left_at = Instant::now();
+        let mut after = setup.proxy.open_files();
+        while after > before + MAX_EXTRA_DESCRIPTORS && left_at.elapsed() < RECOVERY_TIMEOUT {
             std::thread::sleep(SAMPLE_INTERVAL);
-            after = stage.proxy.open_files();
+            after = setup.proxy.open_files();
         }
-        let took = left.elapsed();
+        let elapsed = left_at.elapsed();
         eprintln!(
-            "{habit:?}: {before} descriptors before {connected} connections of a crowd, {beside} beside it, {after} \
-             {took:?} after it left"
+            "{behaviour:?}: {before} descriptors before {connected} connections of a crowd, {beside} beside it, \
+             {after} {elapsed:?} after it left"
         );
-        assert!(stage.proxy.is_running(), "the proxy runs");
-        assert!(beside >= PLACES, "the crowd took the places: {beside} descriptors");
+        assert!(setup.proxy.is_running(), "the proxy has exited");
+        assert!(beside >= MAX_CLIENT_CONNECTIONS, "the crowd did not fill the proxy: {beside} descriptors");
         assert!(after <= before + MAX_EXTRA_DESCRIPTORS, "{after} descriptors, {before} before");
         let random = SmallRng::seed_from_u64(0);
-        let mut client = Client { address, pace: Pace::Busy, held: None, random };
-        assert_eq!(client.request(Kind::Status).end, End::Served, "a new client is served");
+        let mut client = Client { address, pace: Pace::Busy, open_connection: None, random };
+        assert_eq!(client.request(Kind::Status).end, End::Served, "a new client is not served");
     }
 }
--- a/tests/fleet/hardening.rs
+++ b/tests/fleet/hardening.rs
@@ -2,7 +2,7 @@
 //! a cold backend behind thirty proxies, idle clients that use up the descriptors, and a list-service node that hangs
 //! within an answer.
 
-use crate::crowds::SHORTAGES;
+use crate::crowds::SHORTAGE_TEXTS;
 use crate::harness;
 use crate::harness::backend::Backend;
 use crate::harness::client::Kind;
@@ -422,7 +422,7 @@
     filler.join().expect("the filler ends");
     let log_lines = log_lines.lock().unwrap_or_else(std::sync::PoisonError::into_inner).join("\n");
     assert!(
-        !SHORTAGES.iter().any(|shortage| log_lines.contains(shortage)),
+        !SHORTAGE_TEXTS.iter().any(|shortage| log_lines.contains(shortage)),
         "out of descriptors: {log_lines}"
     );
     let served_after = served_after.expect("a client is served");
