--- a/tests/fleet/deployments/backends.rs
+++ b/tests/fleet/deployments/backends.rs
@@ -1,5 +1,5 @@
-//! Backends of a deployment: each serves a request in its class's time, holds so many connections, and hangs when
-//! told to, with the requests that it has begun and those that still come.
+//! Backends of a deployment: each serves a request in its class's service time, has a limit of connections, and can be
+//! made to hang, with the requests in progress and those that arrive later.
 
 use super::site::Site;
 use crate::harness::http::{Conn, Message, answer};
@@ -13,22 +13,22 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-/// What all backends of a deployment saw.
+/// The requests that all backends of a deployment received.
 #[derive(Default)]
 struct Seen {
-    /// How often each request came, by its `X-Txn`.
+    /// How often each request arrived, by its `X-Txn`.
     requests: HashMap<String, usize>,
-    /// The requests that hang just now.
+    /// The requests that hang now.
     hanging: Vec<String>,
-    /// The backend and the `X-Txn` of each request, in their order.
+    /// The backend and the `X-Txn` of each request, in order of arrival.
     order: Vec<(usize, String)>,
 }
 
-/// What one backend needs to serve.
+/// The state of one backend.
 struct Backend {
     number: usize,
     service_times: HashMap<String, Duration>,
-    most_connections: usize,
+    max_connections: usize,
     connections: Cell<usize>,
     hangs: watch::Receiver<bool>,
     seen: Arc<Mutex<Seen>>,
@@ -60,7 +60,7 @@
         }
         let service_times: HashMap<String, Duration> =
             site.classes.iter().map(|class| (class.name.clone(), class.service_time())).collect();
-        let (most_connections, shared) = (site.connections_per_backend(), seen.clone());
+        let (max_connections, shared) = (site.connections_per_backend(), seen.clone());
         std::thread::spawn(move || {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -68,7 +68,7 @@
                 let backend = |number, hangs| Backend {
                     number,
                     service_times: service_times.clone(),
-                    most_connections,
+                    max_connections,
                     connections: Cell::new(0),
                     hangs,
                     seen: shared.clone(),
@@ -82,23 +82,23 @@
         Self { addresses, hangs, seen }
     }
 
-    /// Where they listen.
+    /// The addresses of the backends.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
     /// Makes these backends hang, and no others.
-    pub fn hang(&self, wanted: &[usize]) {
+    pub fn hang(&self, backends: &[usize]) {
         for (n, hang) in self.hangs.iter().enumerate() {
-            hang.send_replace(wanted.contains(&n));
+            hang.send_replace(backends.contains(&n));
         }
     }
 
-    /// `count` backends: those that got a request which satisfies `wanted` by its `X-Txn`, the latest first, and then
+    /// `count` backends: those that received a request whose `X-Txn` satisfies `predicate`, the latest first, and then
     /// others.
-    pub fn latest_used(&self, count: usize, wanted: impl Fn(&str) -> bool) -> Vec<usize> {
+    pub fn latest_used(&self, count: usize, predicate: impl Fn(&str) -> bool) -> Vec<usize> {
         let seen = lock(&self.seen);
-        let used = seen.order.iter().rev().filter(|(_, txn)| wanted(txn)).map(|(backend, _)| *backend);
+        let used = seen.order.iter().rev().filter(|(_, txn)| predicate(txn)).map(|(backend, _)| *backend);
         let mut chosen = Vec::new();
         for backend in used.chain(0..self.hangs.len()) {
             if chosen.len() < count && !chosen.contains(&backend) {
@@ -108,12 +108,12 @@
         chosen
     }
 
-    /// Whether a request that hangs now satisfies `wanted`, by its `X-Txn`.
-    pub fn is_hanging(&self, wanted: impl Fn(&str) -> bool) -> bool {
-        lock(&self.seen).hanging.iter().any(|txn| wanted(txn))
+    /// Whether the `X-Txn` of a request that hangs now satisfies `predicate`.
+    pub fn is_hanging(&self, predicate: impl Fn(&str) -> bool) -> bool {
+        lock(&self.seen).hanging.iter().any(|txn| predicate(txn))
     }
 
-    /// How often a request came.
+    /// How often a request arrived.
     pub fn times_seen(&self, txn: &str) -> usize {
         lock(&self.seen).requests.get(txn).copied().unwrap_or(0)
     }
@@ -135,17 +135,17 @@
     }
 }
 
-/// Serves one connection up to its end. One that is too many is turned away with its first request.
+/// Serves one connection until it closes. One beyond the limit is rejected with its first request.
 async fn serve(stream: TcpStream, backend: &Backend) {
-    let too_many = backend.connections.get() > backend.most_connections;
+    let exceeds_limit = backend.connections.get() > backend.max_connections;
     let _ = stream.set_nodelay(true);
     let mut connection = Conn::new(stream);
     while let Ok(message) = connection.read().await {
-        let bytes = match too_many {
+        let bytes = match exceeds_limit {
             true => answer(503, "Service Unavailable", "X-Turned-Away: 1\r\nConnection: close\r\n", b""),
             false => backend.work(&message).await,
         };
-        if connection.write(&bytes).await.is_err() || too_many {
+        if connection.write(&bytes).await.is_err() || exceeds_limit {
             return;
         }
     }
@@ -158,7 +158,7 @@
         seen.order.push((self.number, txn.to_string()));
     }
 
-    /// The answer to a request, once it has been served and the backend hangs no more.
+    /// The answer to a request, after its service time and once the backend no longer hangs.
     async fn work(&self, message: &Message) -> Vec<u8> {
         let header = |name: &str| message.header(name).unwrap_or_default();
         let txn = header("x-txn");
@@ -168,7 +168,7 @@
         let mut hangs = self.hangs.clone();
         if *hangs.borrow() {
             lock(&self.seen).hanging.push(txn.to_string());
-            // The sender lives as long as the test; without it nothing hangs.
+            // The sender lives as long as the test; without it no request hangs.
             let _ = hangs.wait_for(|hangs| !hangs).await;
             lock(&self.seen).hanging.retain(|hanging| hanging != txn);
         }
--- a/tests/fleet/deployments/clients.rs
+++ b/tests/fleet/deployments/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a deployment: requests arrive one after another whether or not earlier ones have been answered, each on
-//! a connection that is kept alive or on a new one. A third is written at once, the others in two or three pieces.
+//! Open-loop clients of a deployment: requests start at a fixed interval whether or not earlier ones have been
+//! answered, each on an idle or on a new connection. A third is written at once, the others in two or three pieces.
 
 use super::site::{Effect, Site};
 use crate::harness::http::{Conn, ReadError};
@@ -14,36 +14,36 @@
 use tokio::net::TcpStream;
 use tokio::task::{JoinSet, LocalSet};
 
-/// An answer that comes later than this behind its request's time is a loss.
-const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// A request is written in so many pieces at the most.
-const MOST_PIECES: usize = 3;
+/// An answer that comes later than this after its request's deadline is a loss.
+const ANSWER_TOLERANCE: Duration = Duration::from_millis(500);
+/// Maximum number of pieces in which a request is written.
+const MAX_PIECES: usize = 3;
 /// The time between two pieces of a request.
-const PIECE_GAP: Duration = Duration::from_millis(8);
-/// Longest wait for a connection to come up.
+const PIECE_INTERVAL: Duration = Duration::from_millis(8);
+/// Longest wait for a connection to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// The body of a request that is not a GET.
 const BODY: &str = "0123456789abcdef0123456789abcdef";
 
-/// The front before the proxies: new connections go to those that it does not take to be leaving.
+/// The front of the proxies: it opens new connections to those that are not marked as leaving.
 pub struct Front {
     addresses: Vec<SocketAddr>,
     leaving: Vec<AtomicBool>,
 }
 
 impl Front {
-    /// A front before these proxies.
+    /// Creates a front of these proxies; none is leaving.
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
         let leaving = addresses.iter().map(|_| AtomicBool::new(false)).collect();
         Self { addresses, leaving }
     }
 
-    /// Where this proxy listens.
+    /// The address of this proxy.
     pub fn address(&self, proxy: usize) -> SocketAddr {
         self.addresses[proxy]
     }
 
-    /// Whether new connections go to this proxy no more.
+    /// Sets whether this proxy is leaving and gets no new connections.
     pub fn set_leaving(&self, proxy: usize, leaving: bool) {
         self.leaving[proxy].store(leaving, Ordering::SeqCst);
     }
@@ -56,28 +56,28 @@
     }
 }
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// A whole answer of this status.
+    /// A complete answer with this status.
     Answered(u16),
     /// An answer that is not this request's, or not HTTP.
-    Wrong,
-    /// The connection ended before the last byte of the request was written.
-    NotTaken,
-    /// The connection ended so long behind the request's last byte, without a byte of an answer.
+    WrongAnswer,
+    /// The connection closed before the last byte of the request was written.
+    NotSent,
+    /// The connection closed this long after the request's last byte, without a byte of an answer.
     Closed(Duration),
-    /// It ended inside an answer.
-    Cut,
-    /// Nothing came in the request's time.
-    Silent,
-    /// No connection came up.
+    /// The connection closed within an answer.
+    Truncated,
+    /// No answer came in time.
+    TimedOut,
+    /// No connection could be established.
     Unreachable,
 }
 
-/// One try of a request.
+/// One attempt of a request.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct Attempt {
     /// The proxy it went to.
     pub proxy: usize,
     /// Its `X-Txn`.
@@ -90,16 +90,16 @@
     pub end: End,
 }
 
-/// A request with its tries: a second one where the first one's connection ended without a byte of an answer.
+/// A request with its attempts: a second one follows if the first one's connection closed without a byte of an answer.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its class, by place in the deployment's list.
+    /// The index of its class in the deployment's list.
     pub class: usize,
-    /// Its tries.
-    pub tries: Vec<Try>,
+    /// Its attempts.
+    pub attempts: Vec<Attempt>,
 }
 
-/// The proxy to which the request of this `X-Txn` went.
+/// The proxy to which the attempt with this `X-Txn` went.
 pub fn proxy_of(txn: &str) -> Option<usize> {
     usize::from_str_radix(txn.get(..8)?, 16).ok()
 }
@@ -109,7 +109,7 @@
     stream: Conn<TcpStream>,
 }
 
-/// What a request is to be, spread evenly over classes, tenants, proxies and ways of writing, and the same each time.
+/// The properties of a request: spread evenly over classes, tenants, proxies and pieces, and the same in each run.
 #[derive(Clone, Copy)]
 struct Plan {
     number: usize,
@@ -117,16 +117,16 @@
     tenant: usize,
     /// The proxy whose connections it prefers.
     proxy: usize,
-    /// In how many pieces it is written.
+    /// The number of pieces in which it is written.
     pieces: usize,
 }
 
 impl Plan {
     fn new(number: usize, site: &Site, front: &Front) -> Self {
         let mut mixed = (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 16;
-        let mut draw = |of: usize| {
-            let drawn = mixed % of as u64;
-            mixed /= of as u64;
+        let mut draw = |choices: usize| {
+            let drawn = mixed % choices as u64;
+            mixed /= choices as u64;
             drawn as usize
         };
         Self {
@@ -134,18 +134,18 @@
             class: draw(site.classes.len()),
             tenant: draw(site.tenants.len()),
             proxy: draw(front.addresses.len()),
-            pieces: 1 + draw(MOST_PIECES),
+            pieces: 1 + draw(MAX_PIECES),
         }
     }
 }
 
-/// What the requests of a deployment share.
+/// The state that the requests of a deployment share.
 struct Clients {
     site: Arc<Site>,
     front: Arc<Front>,
-    /// Connections between requests, by proxy.
+    /// Idle connections, by proxy.
     idle: Vec<RefCell<VecDeque<Connection>>>,
-    tries: Cell<usize>,
+    attempt_count: Cell<usize>,
 }
 
 /// Running clients.
@@ -163,13 +163,13 @@
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
             let idle = front.addresses.iter().map(|_| RefCell::default()).collect();
-            let clients = Clients { site, front, idle, tries: Cell::default() };
+            let clients = Clients { site, front, idle, attempt_count: Cell::default() };
             LocalSet::new().block_on(&runtime, Rc::new(clients).run(stop))
         });
         Self { stopped, thread }
     }
 
-    /// Sends nothing new, waits for all answers and returns every request.
+    /// Stops new requests, waits for all answers and returns every request.
     pub fn end(self) -> Vec<Request> {
         self.stopped.store(true, Ordering::SeqCst);
         self.thread.join().expect("the clients end")
@@ -179,7 +179,7 @@
 impl Clients {
     async fn run(self: Rc<Self>, stopped: Arc<AtomicBool>) -> Vec<Request> {
         let mut requests = JoinSet::new();
-        let mut arrivals = tokio::time::interval(self.site.arrival_gap());
+        let mut arrivals = tokio::time::interval(self.site.arrival_interval());
         let mut number = 0;
         while !stopped.load(Ordering::SeqCst) {
             arrivals.tick().await;
@@ -189,20 +189,20 @@
         requests.join_all().await
     }
 
-    /// One request, sent once more where its connection ended without a byte of an answer.
+    /// Sends one request, and once more if its connection closed without a byte of an answer.
     async fn request(self: Rc<Self>, number: usize) -> Request {
         let plan = Plan::new(number, &self.site, &self.front);
         let deadline = Instant::now() + self.site.classes[plan.class].deadline();
         let idle = self.open_idle_connection(plan.proxy);
-        let mut tries = vec![self.send(plan, deadline, idle).await];
-        if matches!(tries[0].end, End::Closed(_) | End::NotTaken | End::Unreachable) {
-            tries.push(self.send(plan, deadline, None).await);
+        let mut attempts = vec![self.send(plan, deadline, idle).await];
+        if matches!(attempts[0].end, End::Closed(_) | End::NotSent | End::Unreachable) {
+            attempts.push(self.send(plan, deadline, None).await);
         }
-        Request { class: plan.class, tries }
+        Request { class: plan.class, attempts }
     }
 
-    /// One try: on an idle connection, or else on a new one.
-    async fn send(&self, plan: Plan, deadline: Instant, idle: Option<Connection>) -> Try {
+    /// One attempt, on the idle connection or else on a new one.
+    async fn send(&self, plan: Plan, deadline: Instant, idle: Option<Connection>) -> Attempt {
         let on_new_connection = idle.is_none();
         let connection = match idle {
             Some(connection) => Ok(connection),
@@ -215,15 +215,15 @@
             Err(_) => End::Unreachable,
             Ok(connection) => self.exchange(connection, plan, &txn, deadline, &mut sent).await,
         };
-        Try { proxy, txn, on_new_connection, sent, end }
+        Attempt { proxy, txn, on_new_connection, sent, end }
     }
 
     fn next_txn(&self, proxy: usize) -> String {
-        self.tries.set(self.tries.get() + 1);
-        format!("{proxy:08x}{:08x}", self.tries.get())
+        self.attempt_count.set(self.attempt_count.get() + 1);
+        format!("{proxy:08x}{:08x}", self.attempt_count.get())
     }
 
-    /// The connection to this proxy that has been idle longest, of those that have not ended.
+    /// The open connection to this proxy that has been idle longest.
     fn open_idle_connection(&self, proxy: usize) -> Option<Connection> {
         loop {
             let connection = self.idle[proxy].borrow_mut().pop_front()?;
@@ -234,9 +234,9 @@
         }
     }
 
-    /// A new connection to this proxy or the next that is not leaving, or the proxy to which none came up.
+    /// A new connection to this proxy or the next that is not leaving. The error is the proxy that was not reached.
     async fn connect(&self, first: usize) -> Result<Connection, usize> {
-        let proxy = self.front.pick(first).expect("one proxy is left at any time");
+        let proxy = self.front.pick(first).expect("one proxy is not leaving");
         let connecting = TcpStream::connect(self.front.addresses[proxy]);
         let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await else {
             return Err(proxy);
@@ -245,7 +245,7 @@
         Ok(Connection { proxy, stream: Conn::new(stream) })
     }
 
-    /// Writes a request and reads its answer; keeps the connection where it stays open.
+    /// Writes a request and reads its answer; keeps the connection if it stays open.
     async fn exchange(
         &self,
         mut connection: Connection,
@@ -254,26 +254,26 @@
         deadline: Instant,
         sent: &mut Instant,
     ) -> End {
-        let text = self.text(plan, txn, deadline);
+        let text = self.request_text(plan, txn, deadline);
         for (n, piece) in pieces(&text, plan.pieces).enumerate() {
             if n > 0 {
-                tokio::time::sleep(PIECE_GAP).await;
+                tokio::time::sleep(PIECE_INTERVAL).await;
             }
             if connection.stream.write(piece.as_bytes()).await.is_err() {
-                return End::NotTaken;
+                return End::NotSent;
             }
         }
         *sent = Instant::now();
-        let wait = deadline.saturating_duration_since(*sent) + ANSWER_SLACK;
+        let wait = deadline.saturating_duration_since(*sent) + ANSWER_TOLERANCE;
         let answer = match tokio::time::timeout(wait, connection.stream.read()).await {
             Ok(Ok(answer)) => answer,
-            Ok(Err(ReadError::Malformed)) => return End::Wrong,
+            Ok(Err(ReadError::Malformed)) => return End::WrongAnswer,
             Ok(Err(_)) if connection.stream.is_clean() => return End::Closed(sent.elapsed()),
-            Ok(Err(_)) => return End::Cut,
-            Err(_) => return End::Silent,
+            Ok(Err(_)) => return End::Truncated,
+            Err(_) => return End::TimedOut,
         };
         if answer.status() == 200 && !answer.body.starts_with(txn.as_bytes()) {
-            return End::Wrong;
+            return End::WrongAnswer;
         }
         if !answer.closes() {
             self.idle[connection.proxy].borrow_mut().push_back(connection);
@@ -281,12 +281,12 @@
         End::Answered(answer.status())
     }
 
-    /// A request as `PROTOCOL` ("Callers to proxies") words it.
-    fn text(&self, plan: Plan, txn: &str, deadline: Instant) -> String {
+    /// The text of a request, as in `PROTOCOL` ("Callers to proxies").
+    fn request_text(&self, plan: Plan, txn: &str, deadline: Instant) -> String {
         let class = &self.site.classes[plan.class];
         let tenant = &self.site.tenants[plan.tenant].name;
         let number = plan.number;
-        let left_ms = deadline.saturating_duration_since(Instant::now()).as_millis();
+        let remaining_ms = deadline.saturating_duration_since(Instant::now()).as_millis();
         let (method, body, key) = match class.effect {
             Effect::Safe => ("GET", "", String::new()),
             Effect::Keyed => ("POST", BODY, format!("Idempotency-Key: {number:032x}\r\n")),
@@ -294,14 +294,14 @@
         };
         format!(
             "{method} /api HTTP/1.1\r\nHost: app.svc\r\nX-Txn: {txn}\r\nX-Lane: {}\r\nX-Org: {tenant}\r\n{key}\
-             X-Remaining-Ms: {left_ms}\r\nContent-Length: {}\r\n\r\n{body}",
+             X-Remaining-Ms: {remaining_ms}\r\nContent-Length: {}\r\n\r\n{body}",
             class.name,
             body.len()
         )
     }
 }
 
-/// A text in `count` pieces of about the same length.
+/// Splits a text into `count` pieces of about the same length.
 fn pieces(text: &str, count: usize) -> impl Iterator<Item = &str> {
     let length = text.len();
     (0..count).map(move |n| &text[n * length / count..(n + 1) * length / count])
--- a/tests/fleet/deployments/site.rs
+++ b/tests/fleet/deployments/site.rs
@@ -1,24 +1,24 @@
-//! A deployment as `deploy/sites/NAME/NAME.toml` describes it: what the restarts need of it, and the settings that
-//! a proxy of it is given.
+//! A deployment as `deploy/sites/NAME/NAME.toml` describes it: the parts that the restart test needs, and the settings
+//! of its proxies.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::path::Path;
 use std::time::Duration;
 
-/// `PROTOCOL` ("Figures"): a longer deadline counts as this much when SIGKILL is due.
-const LONGEST_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// And SIGKILL comes this much later still.
-const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// Requests that arrive in the mean service time, at most: what keeps a slow deployment's queue short.
-const ARRIVALS_PER_SERVICE_TIME: f64 = 32.0;
-/// Shortest time between two arrivals.
-const SHORTEST_ARRIVAL_GAP_MS: f64 = 25.0;
+/// A longer deadline counts as this one for the time of SIGKILL (`PROTOCOL`, "Figures").
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// How long after the longest counted deadline SIGKILL is due.
+const KILL_DELAY_AFTER_DEADLINE: Duration = Duration::from_millis(700);
+/// Maximum number of requests that arrive in the mean service time; keeps a slow deployment's queue short.
+const MAX_ARRIVALS_PER_SERVICE_TIME: f64 = 32.0;
+/// Minimum time between two arrivals.
+const MIN_ARRIVAL_INTERVAL_MS: f64 = 25.0;
 
-/// A range of the file, of which a day is drawn.
+/// A range in the file, from which each day's value is drawn.
 type Range = [f64; 2];
 
-/// What may be done with a request more than once.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
@@ -35,7 +35,7 @@
 pub struct Class {
     /// Its name, as `X-Lane` carries it.
     pub name: String,
-    /// What a repeat of it does.
+    /// Whether it may be repeated.
     pub effect: Effect,
     work_ms: Range,
     aim_ms: f64,
@@ -161,7 +161,7 @@
         (self.work_ms[0] + self.work_ms[1]) / 2.0
     }
 
-    /// The class as a proxy's settings name it.
+    /// The class as a proxy's settings contain it.
     fn settings(&self) -> Value {
         let effect = match self.effect {
             Effect::Safe => "free",
@@ -179,14 +179,14 @@
 }
 
 impl Site {
-    /// Every deployment of `deploy/sites/`, by name.
+    /// Reads every deployment of `deploy/sites/`, sorted by name.
     pub fn read_all() -> Vec<Self> {
         let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/sites");
         let entries = std::fs::read_dir(&root).expect("deploy/sites can be listed");
         let directories = entries.map(|entry| entry.expect("an entry of deploy/sites").path());
         let mut sites: Vec<Self> =
             directories.filter(|path| path.is_dir()).map(|path| Self::read(&path)).collect();
-        sites.sort_by(|one, other| one.name.cmp(&other.name));
+        sites.sort_by(|a, b| a.name.cmp(&b.name));
         sites
     }
 
@@ -202,17 +202,17 @@
         self.classes.iter().map(Class::deadline).max().unwrap_or_default()
     }
 
-    /// How long after SIGTERM a process is killed at the earliest.
+    /// The minimum time between SIGTERM and SIGKILL.
     pub fn kill_after(&self) -> Duration {
-        self.longest_deadline().min(LONGEST_COUNTED_DEADLINE) + KILL_AFTER_DEADLINE
+        self.longest_deadline().min(MAX_COUNTED_DEADLINE) + KILL_DELAY_AFTER_DEADLINE
     }
 
-    /// How many backends a tier of it has at the least.
+    /// The minimum number of backends of a tier.
     pub fn backends(&self) -> usize {
         self.scale.servers[0]
     }
 
-    /// How many connections one of its backends holds.
+    /// The maximum number of connections of a backend.
     pub fn connections_per_backend(&self) -> usize {
         let tier = self.last_tier();
         tier.conn.cap_per_core[1] as usize * tier.kinds[0].cores
@@ -224,14 +224,14 @@
     }
 
     /// The time between two arrivals.
-    pub fn arrival_gap(&self) -> Duration {
+    pub fn arrival_interval(&self) -> Duration {
         let total: f64 = self.classes.iter().map(Class::mean_work_ms).sum();
         let service_time_ms = total / self.classes.len() as f64;
-        let gap_ms = SHORTEST_ARRIVAL_GAP_MS.max(service_time_ms / ARRIVALS_PER_SERVICE_TIME);
-        Duration::from_secs_f64(gap_ms / 1000.0)
+        let interval_ms = MIN_ARRIVAL_INTERVAL_MS.max(service_time_ms / MAX_ARRIVALS_PER_SERVICE_TIME);
+        Duration::from_secs_f64(interval_ms / 1000.0)
     }
 
-    /// The last tier: the one that the proxies of the test stand before.
+    /// The last tier, in front of which the proxies of the test run.
     fn last_tier(&self) -> &Tier {
         self.tiers.last().expect("a deployment has a tier")
     }
@@ -258,14 +258,14 @@
                "retry-after": self.allow.retry_after, "second-copies": self.allow.second_copies})
     }
 
-    /// Tenants, each with its share of the arrivals, whether or not shares add up to all.
+    /// The tenants, each with its share of the arrivals as quota, whether or not the shares add up to 1.
     fn projects(&self) -> Vec<Value> {
-        let rate = 1.0 / self.arrival_gap().as_secs_f64();
+        let rate = 1.0 / self.arrival_interval().as_secs_f64();
         let project = |tenant: &Tenant| json!({"name": tenant.name, "quota-per-s": tenant.share * rate});
         self.tenants.iter().map(project).collect()
     }
 
-    /// The coldest and the longest cold of the last tier's kinds, as the bench states them.
+    /// The lowest cold capacity and the longest slow start of the last tier's kinds, as the test bench states them.
     fn rules(&self) -> Value {
         let kinds = &self.last_tier().kinds;
         let cold = kinds.iter().map(|kind| kind.cold_s[1]).fold(0.0, f64::max);
--- a/tests/fleet/replicated.rs
+++ b/tests/fleet/replicated.rs
@@ -184,7 +184,7 @@
     let healed_at = Instant::now();
     cluster.agreed(meanwhile, TIMEOUT);
     eprintln!(
-        "minority: next leader in {elected:?}, reads marked {minority_age_ms} ms old, all nodes agree {:?} after healing",
+        "minority: next leader in {elected:?}, reads marked {minority_age_ms} ms old, nodes agree {:?} after healing",
         healed_at.elapsed()
     );
     let (_, list) = listed(cluster.front(old_leader));
