--- a/testbed/src/calls.rs
+++ b/testbed/src/calls.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Longest wait for one call.
-pub const CALL_WITHIN: Duration = Duration::from_secs(2);
+/// Timeout of one call.
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 async fn exchange(address: SocketAddr, method: &str, target: &str, body: &Value) -> Option<Message> {
     let stream = TcpStream::connect(address).await.ok()?;
@@ -21,31 +21,31 @@
     conn.read().await.ok()
 }
 
-/// One call on a new connection, from an event loop: the status and the body as JSON (`Null` if it is none).
-pub async fn call_here(
+/// Makes one call on a new connection, from an event loop; returns the status and the body (`Null` if it is not JSON).
+pub async fn call_async(
     address: SocketAddr,
     method: &str,
     target: &str,
     body: &Value,
 ) -> Option<(u16, Value)> {
-    let called = tokio::time::timeout(CALL_WITHIN, exchange(address, method, target, body)).await;
-    let answer = called.ok().flatten()?;
+    let result = tokio::time::timeout(CALL_TIMEOUT, exchange(address, method, target, body)).await;
+    let answer = result.ok().flatten()?;
     Some((answer.status(), serde_json::from_slice(&answer.body).unwrap_or(Value::Null)))
 }
 
-/// The same from any other thread, which waits for it.
+/// Does the same from any other thread, and blocks it.
 pub fn call(address: SocketAddr, method: &str, target: &str, body: &Value) -> Option<(u16, Value)> {
     let (method, target, body) = (method.to_string(), target.to_string(), body.clone());
-    Loop::shared().wait(move || async move { call_here(address, &method, &target, &body).await }).flatten()
+    Loop::shared().wait(move || async move { call_async(address, &method, &target, &body).await }).flatten()
 }
 
-/// The registration of a backend as `POST /v1/register` takes it.
+/// The body of a backend's `POST /v1/register`.
 pub fn registration(id: &str, address: SocketAddr, ttl_ms: u64) -> Value {
     json!({"instanceId": id, "hostPort": address.to_string(), "zone": "a", "machineType": "m", "cell": 0,
            "lifecycle": "SERVING", "weight": 1.0, "startedAtMs": 0, "ttlMs": ttl_ms})
 }
 
-/// Whether the list service lists `id` now; `None` if it did not answer.
+/// Whether the list service lists `id`; `None` if it did not answer.
 pub fn lists(address: SocketAddr, id: &str) -> Option<bool> {
     let (status, list) = call(address, "GET", "/api/targets", &Value::Null)?;
     let instances = list["instances"].as_array()?;
--- a/testbed/src/cluster.rs
+++ b/testbed/src/cluster.rs
@@ -1,5 +1,5 @@
-//! A list service of several nodes, each a process, with a fault relay on every link between two of them, one
-//! way each, and one before each node for its clients, which keeps its address while the node restarts.
+//! A list service of several nodes, each a process. Every link between two nodes has a fault relay in each direction,
+//! and every node has one in front of it for its clients, which keeps its address while the node restarts.
 
 use crate::calls::call;
 use crate::links::{Fault, Relay};
@@ -9,25 +9,25 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// A target nobody listens at, for relays whose node is not up.
-const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
+/// An address without a listener, the target of relays whose node does not run.
+const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
-/// How the nodes keep a leader.
+/// The timing of heartbeats and elections.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// How often the leader calls the others, in milliseconds.
+    /// The interval of the leader's heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Between which times without a leader a node stands for election, in milliseconds.
+    /// The range of the election timeout, in milliseconds.
     pub election_ms: [u64; 2],
 }
 
-/// Quicker than the program's defaults, so that tests with elections are short.
-const QUICK: Timing = Timing { heartbeat_ms: 60, election_ms: [250, 500] };
+/// Shorter than the program's defaults, so that tests with elections are short.
+const TEST_TIMING: Timing = Timing { heartbeat_ms: 60, election_ms: [250, 500] };
 
-/// The nodes, their links and their directories; all end with it.
+/// The nodes, their links and their directories; dropping it stops the nodes and removes the directories.
 pub struct Cluster {
     nodes: Vec<Option<Process>>,
-    /// `links[i][j]`: how node i reaches node j.
+    /// `links[i][j]`: the relay through which node i reaches node j.
     links: Vec<Vec<Option<Relay>>>,
     fronts: Vec<Relay>,
     dir: PathBuf,
@@ -36,32 +36,32 @@
 }
 
 impl Cluster {
-    /// Starts `size` nodes on empty directories, `extra` in each one's configuration.
+    /// Starts `size` nodes on empty directories, with `extra` in the configuration of each.
     ///
     /// # Panics
-    /// Where a node does not start, or there is no port for a relay.
+    /// If a node does not start, or a relay can't bind a port.
     pub fn start(fleet: &mut Fleet, size: usize, extra: &str) -> Self {
         Self::try_start(fleet, size, extra).expect("the nodes start")
     }
 
-    /// The same.
+    /// Does the same, and returns an error if a node does not start.
     ///
     /// # Errors
-    /// Why a node does not start.
+    /// The error of the node that does not start.
     ///
     /// # Panics
-    /// Where there is no port for a relay.
+    /// If a relay can't bind a port.
     pub fn try_start(fleet: &mut Fleet, size: usize, extra: &str) -> Result<Self, StartError> {
-        Self::try_start_timed(fleet, size, extra, QUICK)
+        Self::try_start_timed(fleet, size, extra, TEST_TIMING)
     }
 
-    /// The same with a timing of its own.
+    /// Does the same with the given timing.
     ///
     /// # Errors
-    /// Why a node does not start.
+    /// The error of the node that does not start.
     ///
     /// # Panics
-    /// Where there is no port for a relay.
+    /// If a relay can't bind a port.
     pub fn try_start_timed(
         fleet: &mut Fleet,
         size: usize,
@@ -69,7 +69,7 @@
         timing: Timing,
     ) -> Result<Self, StartError> {
         let dir = fleet.scratch("cluster");
-        let relay = || Relay::start(NOWHERE).expect("a loopback port for a relay");
+        let relay = || Relay::start(UNUSED_ADDRESS).expect("a relay binds a loopback port");
         let links = (0..size)
             .map(|i| (0..size).map(|j| (i != j).then(relay)).collect::<Vec<_>>())
             .collect::<Vec<_>>();
@@ -87,25 +87,25 @@
         Ok(cluster)
     }
 
-    /// Node `n`'s data directory.
+    /// The data directory of node `n`.
     pub fn data_dir(&self, n: usize) -> PathBuf {
         self.dir.join(format!("node-{n}"))
     }
 
-    /// Starts node `n` (again), `more` in its configuration; it is reached where it was.
+    /// Starts or restarts node `n` with `more` in its configuration; its relays keep their addresses.
     ///
     /// # Errors
-    /// Where the process does not start or does not say that it listens.
+    /// If the process does not start or does not report its listening address.
     pub fn start_node(&mut self, fleet: &mut Fleet, n: usize, more: &str) -> Result<(), StartError> {
-        let Timing { heartbeat_ms, election_ms: [least, most] } = self.timing;
+        let Timing { heartbeat_ms, election_ms: [min_ms, max_ms] } = self.timing;
         let mut config = format!(
             "listen = \"127.0.0.1:0\"\nnode = {}\ndata_dir = \"{}\"\nheartbeat_ms = {heartbeat_ms}\n\
-             election_ms = [{least}, {most}]\n{}\n{more}\n",
+             election_ms = [{min_ms}, {max_ms}]\n{}\n{more}\n",
             n + 1,
             self.data_dir(n).display(),
             self.extra
         );
-        // Tables come last in TOML, and `more` may hold one.
+        // `peers` comes first: `more` may contain a table, and keys behind a table would belong to it.
         let peers: Vec<String> = self.links[n]
             .iter()
             .enumerate()
@@ -124,49 +124,49 @@
         Ok(())
     }
 
-    /// How many nodes there are, up or not.
+    /// The number of nodes, running or not.
     pub fn size(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Node `n`, if it runs.
+    /// The process of node `n`, if it runs.
     pub fn node(&mut self, n: usize) -> Option<&mut Process> {
         self.nodes[n].as_mut()
     }
 
-    /// SIGKILLs node `n`: its connections are reset and new ones refused, as by a dead machine's kernel.
+    /// SIGKILLs node `n`: the system resets its connections and refuses new ones.
     pub fn kill(&mut self, n: usize) {
         self.nodes[n] = None;
     }
 
-    /// Where clients reach node `n`, whatever port it has now.
+    /// The address at which clients reach node `n`, independent of the node's own port.
     pub fn front(&self, n: usize) -> SocketAddr {
         self.fronts[n].address()
     }
 
-    /// The relay before node `n` for its clients.
+    /// The relay in front of node `n` for its clients.
     pub fn front_relay(&self, n: usize) -> &Relay {
         &self.fronts[n]
     }
 
-    /// Where clients reach the nodes.
+    /// The addresses at which clients reach the nodes.
     pub fn fronts(&self) -> Vec<SocketAddr> {
         self.fronts.iter().map(Relay::address).collect()
     }
 
-    /// The links between nodes.
+    /// The relays between nodes.
     pub fn links(&self) -> impl Iterator<Item = &Relay> {
         self.links.iter().flatten().flatten()
     }
 
-    /// Puts a fault on the link by which node `from` reaches node `to`.
+    /// Sets the fault of the link by which node `from` reaches node `to`.
     pub fn link(&self, from: usize, to: usize, fault: Fault) {
         if let Some(link) = &self.links[from][to] {
             link.set(fault);
         }
     }
 
-    /// Cuts node `n` off from the others, both ways, or heals it with `Fault::Pass`.
+    /// Sets the fault of all links between node `n` and the others, in both directions; `Fault::Pass` heals them.
     pub fn isolate(&self, n: usize, fault: Fault) {
         for other in (0..self.size()).filter(|other| *other != n) {
             self.link(n, other, fault);
@@ -174,16 +174,16 @@
         }
     }
 
-    /// What node `n` says of itself, if it answers.
+    /// The status that node `n` reports, if it answers.
     pub fn status(&self, n: usize) -> Option<Value> {
         self.nodes[n].as_ref()?;
         call(self.front(n), "GET", "/v1/status", &Value::Null).filter(|(s, _)| *s == 200).map(|(_, v)| v)
     }
 
-    /// The node among `of` that leads by its own word, waited for.
+    /// Waits until a node among `of` reports itself as the leader, and returns it.
     ///
     /// # Panics
-    /// If none leads in time.
+    /// If none does `within` this time.
     pub fn leader_of(&self, of: &[usize], within: Duration) -> usize {
         let deadline = Instant::now() + within;
         loop {
@@ -200,24 +200,24 @@
         }
     }
 
-    /// The node that leads, waited for.
+    /// Waits for a leader among all nodes, and returns it.
     pub fn leader(&self) -> usize {
         self.leader_of(&(0..self.size()).collect::<Vec<_>>(), Duration::from_secs(10))
     }
 
-    /// Waits until all nodes are at one revision of at least `revision`, and returns it.
+    /// Waits until all nodes are at the same revision of at least `revision`, and returns it.
     ///
     /// # Panics
-    /// If they are not in time.
+    /// If they are not `within` this time.
     pub fn agreed(&self, revision: u64, within: Duration) -> u64 {
         let deadline = Instant::now() + within;
         loop {
-            let at: Vec<Option<u64>> =
+            let revisions: Vec<Option<u64>> =
                 (0..self.size()).map(|n| self.status(n).and_then(|s| s["revision"].as_u64())).collect();
-            if let Some(one) = at[0].filter(|r| *r >= revision && at.iter().all(|a| *a == Some(*r))) {
-                return one;
+            if let Some(common) = revisions[0].filter(|r| *r >= revision && revisions.iter().all(|a| *a == Some(*r))) {
+                return common;
             }
-            assert!(Instant::now() < deadline, "revisions {at:?}, waiting for one of {revision} or more");
+            assert!(Instant::now() < deadline, "revisions {revisions:?}, expected all equal and at least {revision}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
--- a/testbed/src/fake.rs
+++ b/testbed/src/fake.rs
@@ -1,6 +1,6 @@
-//! A plain fake backend, for tests of single points: it answers every request 200 with its name after a fixed
-//! time, and records each with the time of its first byte, so that a test can count copies and late sends.
-//! Experiments play the backends of [`crate::backend`] instead.
+//! A simple fake backend for tests: it answers every request with status 200 and its name after a fixed time, and
+//! records each request with the time of its first byte, so that a test can count duplicates and late requests.
+//! Experiments use the backends of [`crate::backend`] instead.
 
 use crate::http::{Conn, ReadError, answer};
 use crate::rt::Loop;
@@ -10,49 +10,49 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Most connections served at once; more are closed at once, as a full backend would.
-pub const MOST_CONNECTIONS: usize = 256;
-/// Most requests recorded; more are answered but not recorded, and `overflowed` says so.
-pub const MOST_RECORDED: usize = 100_000;
+/// Maximum number of open connections; further ones are closed at once, as by a full backend.
+pub const MAX_CONNECTIONS: usize = 256;
+/// Maximum number of recorded requests; further ones are answered and counted in `overflowed`, but not recorded.
+pub const MAX_RECORDED: usize = 100_000;
 /// How long a connection may stay idle before the backend closes it.
-const IDLE_CLOSE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One request as the backend saw it.
+/// A recorded request.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct RecordedRequest {
     /// When its first byte was read.
     pub at: Instant,
-    /// `X-Txn`, or empty.
+    /// The value of `X-Txn`, or empty.
     pub txn: String,
-    /// `X-Lane`, or empty.
+    /// The value of `X-Lane`, or empty.
     pub lane: String,
 }
 
 struct Shared {
     name: String,
     service: Duration,
-    seen: Mutex<Vec<Seen>>,
+    seen: Mutex<Vec<RecordedRequest>>,
     open: AtomicUsize,
     overflowed: AtomicUsize,
 }
 
-/// A running fake backend; it ends with the process.
+/// A running fake backend; it runs until the process ends.
 pub struct Backend {
     shared: Arc<Shared>,
     address: SocketAddr,
 }
 
 impl Shared {
-    fn seen(&self) -> MutexGuard<'_, Vec<Seen>> {
+    fn seen(&self) -> MutexGuard<'_, Vec<RecordedRequest>> {
         self.seen.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
 impl Backend {
-    /// Starts one on a loopback port that the system chooses.
+    /// Starts a backend on a loopback port that the system chooses.
     ///
     /// # Errors
-    /// Where no port can be had.
+    /// If no port can be bound.
     pub fn start(name: &str, service: Duration) -> std::io::Result<Self> {
         let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
@@ -69,7 +69,7 @@
             let Ok(listener) = TcpListener::from_std(listener) else { return };
             loop {
                 match listener.accept().await {
-                    Ok((stream, _)) if serving.open.load(Ordering::SeqCst) < MOST_CONNECTIONS => {
+                    Ok((stream, _)) if serving.open.load(Ordering::SeqCst) < MAX_CONNECTIONS => {
                         let serving = serving.clone();
                         serving.open.fetch_add(1, Ordering::SeqCst);
                         tokio::task::spawn_local(async move {
@@ -85,22 +85,22 @@
         Ok(Self { shared, address })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its name, as its answers carry it.
+    /// Its name, which its answers contain.
     pub fn name(&self) -> &str {
         &self.shared.name
     }
 
-    /// Every request recorded so far.
-    pub fn seen(&self) -> Vec<Seen> {
+    /// The requests recorded so far.
+    pub fn seen(&self) -> Vec<RecordedRequest> {
         self.shared.seen().clone()
     }
 
-    /// Requests that came past `MOST_RECORDED`.
+    /// The number of requests beyond `MAX_RECORDED`.
     pub fn overflowed(&self) -> usize {
         self.shared.overflowed.load(Ordering::Relaxed)
     }
@@ -110,7 +110,7 @@
     let _ = stream.set_nodelay(true);
     let mut conn = Conn::new(stream);
     loop {
-        let message = match tokio::time::timeout(IDLE_CLOSE, conn.read()).await {
+        let message = match tokio::time::timeout(IDLE_TIMEOUT, conn.read()).await {
             Ok(Ok(message)) => message,
             Ok(Err(ReadError::Malformed)) => {
                 let _ = conn.write(&answer(400, "Bad Request", "", b"")).await;
@@ -120,18 +120,18 @@
         };
         let (_, target) = message.method_target();
         let body = if target.starts_with("/-/") {
-            // Probes: healthy, and no load report.
+            // A health probe: answered as healthy, without a load report.
             b"ok".to_vec()
         } else {
             let header = |name: &str| message.header(name).unwrap_or("").to_string();
             let (txn, lane) = (header("x-txn"), header("x-lane"));
-            // The request's own id comes back, so that a client can tell its answer from another's.
+            // The answer contains the request's id, so that a client can detect an answer to another request.
             let body = format!("{txn} served by {}", shared.name).into_bytes();
             let full = {
                 let mut seen = shared.seen();
-                let full = seen.len() >= MOST_RECORDED;
+                let full = seen.len() >= MAX_RECORDED;
                 if !full {
-                    seen.push(Seen { at: message.began, txn, lane });
+                    seen.push(RecordedRequest { at: message.began, txn, lane });
                 }
                 full
             };
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,5 +1,5 @@
 //! The fleet testbed: emulated backends, clients, links and faults around real processes of the program, and the
-//! experiments played on them. The tests of the fleet use its pieces as a library.
+//! experiments that run on them. The fleet tests use its modules as a library.
 #![forbid(unsafe_code)]
 
 pub mod backend;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -18,15 +18,15 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Broken rules of one play that are shown.
+/// Maximum number of broken rules printed per run, besides the last one.
 const MAX_BREAKS_SHOWN: usize = 12;
-/// The demo's experiment.
+/// The experiment of the demo.
 const DEMO: &str = include_str!("../experiments/demo.toml");
 
-/// Plays experiments on fleets of real proxies among emulated backends and clients.
+/// Runs experiments on fleets of real proxies among emulated backends and clients.
 ///
-/// Exit codes: 0 held; 1 something that must not happen did, or a bound was passed; 2 bad arguments or file, or
-/// the fleet could not be started; 3 the lab itself was too late for the run to be trusted; 130 interrupted.
+/// Exit codes: 0 success; 1 a violation, or a bound was exceeded; 2 bad arguments or file, or the fleet could
+/// not be started; 3 the testbed itself was too late for its figures to be trusted; 130 interrupted.
 #[derive(Parser)]
 #[command(name = "fleet-testbed", version, about, long_about)]
 struct Cli {
@@ -36,26 +36,26 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays an experiment once: `fleet-testbed run testbed/experiments/crash20.toml --seed 3 --out out/crash20`.
+    /// Runs an experiment once: `fleet-testbed run testbed/experiments/crash20.toml --seed 3 --out out/crash20`.
     Run {
-        /// The experiment's file.
+        /// The experiment file.
         file: String,
-        /// The seed of every random choice.
+        /// The seed of all random choices.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Where report.json, summary.txt and the plots go.
+        /// The directory for report.json, summary.txt and the plots.
         #[arg(long)]
         out: Option<PathBuf>,
         /// The program (default: `linkhatch-proxy` beside this one).
         #[arg(long)]
         proxy_binary: Option<PathBuf>,
-        /// Overrides of the file, `key=value`, as `load.rate=200`.
+        /// Overrides of keys in the file, `key=value`, such as `load.rate=200`.
         #[arg(long)]
         set: Vec<String>,
     },
-    /// Plays two builds in turn on the same seeds and tells what differs.
+    /// Runs two builds in turn on the same seeds and prints the differences.
     Compare {
-        /// The experiment's file.
+        /// The experiment file.
         file: String,
         /// The first build.
         #[arg(long)]
@@ -63,112 +63,112 @@
         /// The second build.
         #[arg(long)]
         b: PathBuf,
-        /// Seeds, `from..to`, both included.
+        /// The range of seeds, `from..to`, both included.
         #[arg(long, default_value = "1..5")]
         seeds: String,
-        /// Overrides of the file for both.
+        /// Overrides of keys in the file, for both builds.
         #[arg(long)]
         set: Vec<String>,
-        /// Overrides for the second only, as `proxies.dealer="random"` for a baseline.
+        /// Overrides for the second build only, such as `proxies.dealer="random"` for a baseline.
         #[arg(long)]
         set_b: Vec<String>,
     },
-    /// Plays an experiment once for each value of a key.
+    /// Runs an experiment once for each value of a key.
     Sweep {
-        /// The experiment's file.
+        /// The experiment file.
         file: String,
-        /// The key and its values, as `load.rate=100,200,400`.
+        /// The key and its values, such as `load.rate=100,200,400`.
         #[arg(long)]
         set: String,
-        /// The seed of every random choice.
+        /// The seed of all random choices.
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// The program (default: `linkhatch-proxy` beside this one).
         #[arg(long)]
         proxy_binary: Option<PathBuf>,
     },
-    /// Measures what one proxy, or a chain of them, adds to a call of backends that answer at once.
+    /// Measures the latency that one proxy, or a chain of them, adds to calls of backends that answer at once.
     Overhead {
-        /// Proxies that a call passes, one behind the other.
+        /// The number of proxies in the chain that a call passes through.
         #[arg(long, default_value_t = 1)]
         depth: usize,
-        /// Calls a second, one rate after the other.
+        /// Calls per second; the rates are measured one after another.
         #[arg(long, value_delimiter = ',', default_value = "20,192,1000")]
         rates: Vec<f64>,
         /// Seconds of load on each side (direct, through) at each rate.
         #[arg(long, default_value_t = 60.0)]
         seconds: f64,
-        /// Seconds of one block; blocks of both sides alternate.
+        /// Seconds per block; blocks of both sides alternate.
         #[arg(long, default_value_t = 5.0)]
         block: f64,
         /// The seed of the due times.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Where overhead.json, overhead.txt and the plot go.
+        /// The directory for overhead.json, overhead.txt and the plot.
         #[arg(long)]
         out: Option<PathBuf>,
         /// The program (default: `linkhatch-proxy` beside this one).
         #[arg(long)]
         proxy_binary: Option<PathBuf>,
     },
-    /// Plays the list service among hollow proxies and backends at several sizes, and fits each figure over the size.
+    /// Runs the list service with hollow proxies and backends at several sizes, and fits each figure over the size.
     Scale {
-        /// The experiment's file.
+        /// The experiment file.
         file: String,
-        /// Where the report, the plot and each size's result go.
+        /// The directory for the report, the plot and the result of each size.
         #[arg(long, default_value = "target/scale")]
         out: PathBuf,
         /// The program (default: `linkhatch-proxy` beside this one).
         #[arg(long)]
         proxy_binary: Option<PathBuf>,
-        /// Overrides of the file, `key=value`, as `sizes=[100, 300]`.
+        /// Overrides of keys in the file, `key=value`, such as `sizes=[100, 300]`.
         #[arg(long)]
         set: Vec<String>,
     },
-    /// Plays one size, in the process that `scale` starts for it.
+    /// Runs one size, in the process that `scale` starts for it.
     #[command(hide = true)]
     ScaleSize {
-        /// The experiment's file.
+        /// The experiment file.
         file: String,
         /// The size.
         #[arg(long)]
         size: usize,
-        /// Where the result goes.
+        /// The file for the result.
         #[arg(long)]
         result: PathBuf,
         /// The program.
         #[arg(long)]
         proxy_binary: PathBuf,
-        /// Overrides of the file, `key=value`.
+        /// Overrides of keys in the file, `key=value`.
         #[arg(long)]
         set: Vec<String>,
     },
-    /// Plays randomized faults on real proxies, and judges from outside what clients, backends and discovery have seen.
+    /// Applies random faults to real proxies, and checks what clients, backends and discovery observed.
     Soak {
-        /// What plans are drawn from.
+        /// The file with the bounds that plans are drawn from.
         file: String,
         /// The seed of the first plan.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Plans to play, of one seed after the other.
+        /// The number of plans to run, with consecutive seeds.
         #[arg(long, default_value_t = 1)]
         runs: u64,
-        /// Plays this plan instead, as an earlier run has written it.
+        /// Runs this plan, written by an earlier run, instead.
         #[arg(long)]
         replay: Option<PathBuf>,
         /// Does not shrink plans that fail.
         #[arg(long)]
         no_shrink: bool,
-        /// Where plans that fail go.
+        /// The directory for plans that fail.
         #[arg(long, default_value = "target/soak")]
         out: PathBuf,
         /// The program (default: `linkhatch-proxy` beside this one).
         #[arg(long)]
         proxy_binary: Option<PathBuf>,
     },
-    /// Three list-service nodes, 8 proxies and 12 backends for 20 s with a crash and a partition: tells what held.
+    /// Runs 3 list-service nodes, 8 proxies and 12 backends for 20 s with a crash and a partition, and prints the checks.
     Demo {
-        /// Where the report and the plots go.
+        /// The directory for the report and the plots.
         #[arg(long, default_value = "target/demo")]
         out: PathBuf,
         /// The program (default: `linkhatch-proxy` beside this one).
@@ -177,20 +177,20 @@
     },
 }
 
-/// What a command came to: its exit code.
-type Ended = Result<u8, String>;
+/// The exit code of a command, or the message of its error.
+type CommandResult = Result<u8, String>;
 
 fn main() -> ExitCode {
     let stop = Arc::new(AtomicBool::new(false));
-    let told = stop.clone();
+    let stop_signal = stop.clone();
     Loop::shared().spawn(move || async move {
         while tokio::signal::ctrl_c().await.is_ok() {
-            told.store(true, Ordering::SeqCst);
+            stop_signal.store(true, Ordering::SeqCst);
         }
     });
-    let ended = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::Run { file, seed, out, proxy_binary, set } => {
-            read(&file, &set).and_then(|e| one(&e, options(proxy_binary, seed, out, &stop)))
+            read_experiment(&file, &set).and_then(|e| run_once(&e, options(proxy_binary, seed, out, &stop)))
         }
         Command::Compare { file, a, b, seeds, set, set_b } => {
             compare_two(&file, [a, b], &seeds, &set, &set_b, &stop)
@@ -218,7 +218,7 @@
             stop: stop.clone(),
         }),
         Command::ScaleSize { file, size, result, proxy_binary, set } => {
-            play_size(&file, &set, size, &proxy_binary, &result, &stop)
+            run_size(&file, &set, size, &proxy_binary, &result, &stop)
         }
         Command::Soak { file, seed, runs, replay, no_shrink, out, proxy_binary } => {
             let program = proxy_binary.unwrap_or_else(default_program);
@@ -226,10 +226,10 @@
         }
         Command::Demo { out, proxy_binary } => demo(options(proxy_binary, 1, Some(out), &stop)),
     };
-    match ended {
+    match result {
         Ok(code) => ExitCode::from(if stop.load(Ordering::SeqCst) { 130 } else { code }),
-        Err(why) => {
-            eprintln!("fleet-testbed: {why}");
+        Err(message) => {
+            eprintln!("fleet-testbed: {message}");
             ExitCode::from(2)
         }
     }
@@ -240,12 +240,12 @@
     Options { program: program.unwrap_or_else(default_program), seed, out, progress, stop: stop.clone() }
 }
 
-fn read(file: &str, set: &[String]) -> Result<Experiment, String> {
+fn read_experiment(file: &str, set: &[String]) -> Result<Experiment, String> {
     let set = set.iter().map(|s| setting(s)).collect::<Result<Vec<_>, _>>()?;
     Experiment::read(file, &set).map_err(|e| e.to_string())
 }
 
-fn code(report: &Report) -> u8 {
+fn exit_code(report: &Report) -> u8 {
     match (report.violations_count, report.lab.trusted) {
         (0, true) => 0,
         (0, false) => 3,
@@ -253,13 +253,13 @@
     }
 }
 
-fn one(experiment: &Experiment, options: Options) -> Ended {
+fn run_once(experiment: &Experiment, options: Options) -> CommandResult {
     let report = run::run(experiment, &options).map_err(|e| e.to_string())?;
     print!("{}", report.text());
     if let Some(out) = &options.out {
         println!("  report and plots: {}", out.display());
     }
-    Ok(code(&report))
+    Ok(exit_code(&report))
 }
 
 fn seeds(text: &str) -> Result<std::ops::RangeInclusive<u64>, String> {
@@ -277,9 +277,9 @@
     set: &[String],
     set_b: &[String],
     stop: &Arc<AtomicBool>,
-) -> Ended {
+) -> CommandResult {
     let both = [set.to_vec(), [set, set_b].concat()];
-    let experiments = [read(file, &both[0])?, read(file, &both[1])?];
+    let experiments = [read_experiment(file, &both[0])?, read_experiment(file, &both[1])?];
     let (mut reports, mut worst) = ([Vec::new(), Vec::new()], 0);
     for seed in seeds(range)? {
         for (n, program) in programs.iter().enumerate() {
@@ -289,7 +289,7 @@
                 return Ok(1);
             }
             eprint!("{} {}", ["A", "B"][n], report.text());
-            worst = worst.max(code(&report));
+            worst = worst.max(exit_code(&report));
             reports[n].push(report);
         }
     }
@@ -298,13 +298,13 @@
     Ok(worst)
 }
 
-fn sweep(file: &str, set: &str, options: Options) -> Ended {
+fn sweep(file: &str, set: &str, options: Options) -> CommandResult {
     let (key, values) = set.split_once('=').ok_or_else(|| format!("{set}: expected key=v1,v2,v3"))?;
     let mut worst = 0;
     for value in values.split(',') {
-        let experiment = read(file, &[format!("{key}={value}")])?;
+        let experiment = read_experiment(file, &[format!("{key}={value}")])?;
         println!("{key} = {value}");
-        worst = worst.max(one(&experiment, options.clone())?);
+        worst = worst.max(run_once(&experiment, options.clone())?);
         if options.stop.load(Ordering::SeqCst) {
             break;
         }
@@ -312,7 +312,7 @@
     Ok(worst)
 }
 
-fn measure_overhead(options: overhead::Options) -> Ended {
+fn measure_overhead(options: overhead::Options) -> CommandResult {
     let report = overhead::run(&options).map_err(|e| e.to_string())?;
     print!("{}", report.text());
     Ok(if report.trusted { 0 } else { 3 })
@@ -323,7 +323,7 @@
     ScaleExperiment::read(file, &set).map_err(|e| e.to_string())
 }
 
-fn measure_scale(options: scale::Options) -> Ended {
+fn measure_scale(options: scale::Options) -> CommandResult {
     let experiment = read_scale(&options.file, &options.set)?;
     let report = scale::run(&experiment, &options).map_err(|e| e.to_string())?;
     print!("{}", report.text());
@@ -335,23 +335,23 @@
     })
 }
 
-fn play_size(
+fn run_size(
     file: &str,
     set: &[String],
     size: usize,
     program: &Path,
     result: &Path,
     stop: &AtomicBool,
-) -> Ended {
+) -> CommandResult {
     let experiment = read_scale(file, set)?;
-    let played = scale::run_size(&experiment, size, program, stop).map_err(|e| e.to_string())?;
-    let json = serde_json::to_string_pretty(&played).map_err(|e| e.to_string())?;
+    let size_result = scale::run_size(&experiment, size, program, stop).map_err(|e| e.to_string())?;
+    let json = serde_json::to_string_pretty(&size_result).map_err(|e| e.to_string())?;
     std::fs::write(result, json).map_err(|e| format!("{}: {e}", result.display()))?;
-    // Hollow proxies and backends end with the process, without being taken down one by one.
+    // Ending the process ends the hollow proxies and backends; they need not be stopped one by one.
     std::process::exit(0)
 }
 
-/// What the soak is asked for.
+/// The options of the `soak` command.
 struct SoakOptions {
     file: String,
     seed: u64,
@@ -362,8 +362,8 @@
     program: PathBuf,
 }
 
-/// Plays one plan or several; the exit code is 1 where any has failed.
-fn soak(options: &SoakOptions, stop: &AtomicBool) -> Ended {
+/// Runs one plan or several; the exit code is 1 if any failed.
+fn soak(options: &SoakOptions, stop: &AtomicBool) -> CommandResult {
     let read = |path: &Path| std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
     std::fs::create_dir_all(&options.out).map_err(|e| format!("{}: {e}", options.out.display()))?;
     let plans: Vec<Plan> = match &options.replay {
@@ -378,55 +378,55 @@
         if stop.load(Ordering::SeqCst) {
             break;
         }
-        let played = play::run_plan(plan, &options.program)?;
+        let result = play::run_plan(plan, &options.program)?;
         println!(
-            "seed {}: {} faults, {} tries, {} served, {} refused, {} sent after SIGTERM, {} broken",
+            "seed {}: {} faults, {} attempts, {} served, {} rejected, {} sent after SIGTERM, {} broken rules",
             plan.seed,
             plan.faults.len(),
-            played.requests,
-            played.served,
-            played.refused,
-            played.sent_after_sigterm,
-            played.violations.len()
+            result.requests,
+            result.served,
+            result.refused,
+            result.sent_after_sigterm,
+            result.violations.len()
         );
-        // The first of them, and the last, which may tell of all.
-        let shown = played.violations.iter().take(MAX_BREAKS_SHOWN);
-        for one in shown.chain(played.violations.iter().skip(MAX_BREAKS_SHOWN).last()) {
-            println!("  {}: {}", one.rule, one.description);
+        // The first broken rules, and the last one, which may summarize them.
+        let shown = result.violations.iter().take(MAX_BREAKS_SHOWN);
+        for broken in shown.chain(result.violations.iter().skip(MAX_BREAKS_SHOWN).last()) {
+            println!("  {}: {}", broken.rule, broken.description);
         }
-        if played.violations.is_empty() {
+        if result.violations.is_empty() {
             continue;
         }
         failed += 1;
         let path = options.out.join(format!("seed-{}.toml", plan.seed));
-        let kept =
+        let saved =
             if options.shrinks && options.replay.is_none() { shrunk(plan, options) } else { plan.clone() };
-        play::save(&kept, &path)?;
-        println!("  plan: {} with {} faults", path.display(), kept.faults.len());
+        play::save(&saved, &path)?;
+        println!("  plan: {} with {} faults", path.display(), saved.faults.len());
     }
     println!("{failed} of {} plans failed", plans.len());
     Ok(u8::from(failed > 0))
 }
 
-/// The least plan that still fails.
+/// Returns a smaller plan that still fails.
 fn shrunk(plan: &Plan, options: &SoakOptions) -> Plan {
     shrink::shrink(plan, |shorter| {
-        play::run_plan(shorter, &options.program).is_ok_and(|played| !played.violations.is_empty())
+        play::run_plan(shorter, &options.program).is_ok_and(|result| !result.violations.is_empty())
     })
 }
 
-fn demo(options: Options) -> Ended {
+fn demo(options: Options) -> CommandResult {
     let experiment: Experiment = toml::from_str(DEMO).map_err(|e| e.to_string())?;
     println!("{}", experiment.about);
     let out = options.out.clone();
     let report = run::run(&experiment, &options).map_err(|e| e.to_string())?;
     print!("{}", report.text());
-    let held = |ok: bool| if ok { "held" } else { "BROKEN" };
-    println!("every request had exactly one end: {}", held(report.whole.requests.lost == 0));
-    println!("no rule was broken: {}", held(report.violations_count == 0));
-    println!("served in time, by worth: {:.1}%", 100.0 * report.whole.worth.share);
+    let verdict = |ok: bool| if ok { "passed" } else { "FAILED" };
+    println!("every request had exactly one end: {}", verdict(report.whole.requests.lost == 0));
+    println!("there was no violation: {}", verdict(report.violations_count == 0));
+    println!("served in time, by priority weight: {:.1}%", 100.0 * report.whole.worth.share);
     if let Some(out) = out {
-        println!("look at {}/requests.svg and load.svg", out.display());
+        println!("plots: {}/requests.svg and load.svg", out.display());
     }
-    Ok(code(&report))
+    Ok(exit_code(&report))
 }
--- a/testbed/src/run/list_writer.rs
+++ b/testbed/src/run/list_writer.rs
@@ -129,7 +129,7 @@
 
 async fn heartbeat(node: SocketAddr, registration: Registration) {
     let body = json!({"instanceId": registration.id});
-    if let Some((404, _)) = calls::call_here(node, "POST", "/v1/heartbeat", &body).await {
-        calls::call_here(node, "POST", "/v1/register", &registration.body).await;
+    if let Some((404, _)) = calls::call_async(node, "POST", "/v1/heartbeat", &body).await {
+        calls::call_async(node, "POST", "/v1/register", &registration.body).await;
     }
 }
--- a/testbed/src/soak/list_service.rs
+++ b/testbed/src/soak/list_service.rs
@@ -2,7 +2,7 @@
 //! intervention.
 
 use super::ledger::{SharedLedger, lock_ledger};
-use crate::calls::{call_here, registration};
+use crate::calls::{call_async, registration};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -46,7 +46,7 @@
             let id = format!("w-{n}");
             let body = registration(&id, SocketAddr::from(([127, 0, 0, 1], 1)), 300_000);
             let started_at = Instant::now();
-            let answer = call_here(self.address.get(), "POST", "/v1/register", &body).await;
+            let answer = call_async(self.address.get(), "POST", "/v1/register", &body).await;
             if matches!(answer, Some((200, _))) {
                 self.acknowledged.borrow_mut().insert(id);
             } else if self.disk_recovered_at.get().is_some_and(|at| started_at > at + RECOVERY_TIMEOUT) {
@@ -63,7 +63,7 @@
 
     /// The ids that were acknowledged and are not listed.
     pub async fn lost_registrations(&self) -> Vec<String> {
-        let Some((200, list)) = call_here(self.address.get(), "GET", "/api/targets", &Value::Null).await
+        let Some((200, list)) = call_async(self.address.get(), "GET", "/api/targets", &Value::Null).await
         else {
             return vec!["(the list could not be read)".into()];
         };
--- a/tests/fleet/liveness.rs
+++ b/tests/fleet/liveness.rs
@@ -6,7 +6,7 @@
 use crate::harness::cluster::Cluster;
 use crate::harness::registry::{self, registration};
 use crate::harness::relay::Fault;
-use fleet_testbed::calls::call_here;
+use fleet_testbed::calls::call_async;
 use fleet_testbed::rt::Loop;
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
@@ -63,7 +63,7 @@
 /// One call that renews everything on a machine; `None` if it is not answered in time.
 fn keep_alive(at: SocketAddr, body: Value) -> Option<(u16, Value)> {
     let called = Loop::shared().wait(move || async move {
-        let call = call_here(at, "POST", "/v1/keepalive", &body);
+        let call = call_async(at, "POST", "/v1/keepalive", &body);
         tokio::time::timeout(CALL_TIMEOUT, call).await.ok().flatten()
     });
     called.flatten()
