--- a/testbed/src/cluster.rs
+++ b/testbed/src/cluster.rs
@@ -214,10 +214,15 @@
         loop {
             let revisions: Vec<Option<u64>> =
                 (0..self.size()).map(|n| self.status(n).and_then(|s| s["revision"].as_u64())).collect();
-            if let Some(common) = revisions[0].filter(|r| *r >= revision && revisions.iter().all(|a| *a == Some(*r))) {
+            if let Some(common) =
+                revisions[0].filter(|r| *r >= revision && revisions.iter().all(|a| *a == Some(*r)))
+            {
                 return common;
             }
-            assert!(Instant::now() < deadline, "revisions {revisions:?}, expected all equal and at least {revision}");
+            assert!(
+                Instant::now() < deadline,
+                "revisions {revisions:?}, expected all equal and at least {revision}"
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
--- a/testbed/src/groups.rs
+++ b/testbed/src/groups.rs
@@ -1,32 +1,32 @@
-//! Groups of a fleet in words, so that "seven in ten of the front proxies" is one line: `proxies`, `backends`,
-//! `list`, `reserve` or `machines` (a proxy and its backend together), with any of `N`, `N-M`, `P%`, `zone Z`,
-//! `kind K` (backends), `tier T` (backends), `leader` (list) behind it. `zone Z` alone is all of a zone, and
-//! `clients` are the end of a link.
+//! Expressions for groups of a fleet's members, such as `proxies 70%`. An expression begins with `proxies`,
+//! `backends`, `list`, `reserve` or `machines` (a proxy and its backend together), followed by any of `N`, `N-M`,
+//! `P%`, `zone Z`, `kind K` (backends only), `tier T` (backends only) and `leader` (list only). `zone Z` alone is
+//! everything in a zone; `clients` is the end of a link.
 
 use rand::seq::SliceRandom;
 use rand::{SeedableRng, rngs::SmallRng};
 use thiserror::Error;
 
-/// Words that name no group.
+/// An invalid group expression.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("group `{words}`: {why}")]
+#[error("group `{words}`: {reason}")]
 pub struct GroupError {
     words: String,
-    why: &'static str,
+    reason: &'static str,
 }
 
-/// Whose part.
+/// The kind of members of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Who {
+pub enum MemberKind {
     /// The front proxies that run from the start.
     Proxies,
     /// Backends.
     Backends,
     /// List-service nodes.
     List,
-    /// Proxies not started yet.
+    /// Reserve proxies, which only a fault starts.
     Reserve,
-    /// Proxies each with the backend of its number.
+    /// Pairs of a proxy and the backend with the same number.
     Machines,
     /// Proxies and backends.
     All,
@@ -34,12 +34,12 @@
     Clients,
 }
 
-/// A group, before it is known how many there are.
+/// A parsed group expression, not yet applied to a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
-    /// Whose part.
-    pub who: Who,
-    /// Only those of this zone.
+    /// The kind of its members.
+    pub members: MemberKind,
+    /// Only members in this zone.
     pub zone: Option<String>,
     /// Only backends of this kind.
     pub kind: Option<String>,
@@ -47,56 +47,61 @@
     pub tier: Option<usize>,
     /// Only the leader of the list service.
     pub leader: bool,
-    part: Part,
+    selection: Selection,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Part {
+enum Selection {
     All,
     Range(usize, usize),
     Share(f64),
 }
 
 impl Group {
-    /// Reads a group's words.
+    /// Parses a group expression.
     ///
     /// # Errors
-    /// What is wrong with them.
+    /// If the expression is invalid.
     pub fn parse(words: &str) -> Result<Self, GroupError> {
-        let bad = |why| GroupError { words: words.into(), why };
+        let bad = |reason| GroupError { words: words.into(), reason };
         let mut parts = words.split_whitespace().peekable();
-        let who = match parts.peek().copied() {
-            Some("proxies") => Who::Proxies,
-            Some("backends") => Who::Backends,
-            Some("list") => Who::List,
-            Some("reserve") => Who::Reserve,
-            Some("machines") => Who::Machines,
-            Some("zone") => Who::All,
-            Some("clients") => Who::Clients,
-            _ => return Err(bad("begins with proxies, backends, list, reserve, machines, clients or zone")),
+        let members = match parts.peek().copied() {
+            Some("proxies") => MemberKind::Proxies,
+            Some("backends") => MemberKind::Backends,
+            Some("list") => MemberKind::List,
+            Some("reserve") => MemberKind::Reserve,
+            Some("machines") => MemberKind::Machines,
+            Some("zone") => MemberKind::All,
+            Some("clients") => MemberKind::Clients,
+            _ => {
+                return Err(bad(
+                    "must begin with proxies, backends, list, reserve, machines, clients or zone",
+                ));
+            }
         };
-        if who != Who::All {
+        if members != MemberKind::All {
             parts.next();
         }
-        let mut group = Self { who, zone: None, kind: None, tier: None, leader: false, part: Part::All };
+        let mut group =
+            Self { members, zone: None, kind: None, tier: None, leader: false, selection: Selection::All };
         while let Some(word) = parts.next() {
-            let mut value = || parts.next().ok_or(bad("a word is missing behind zone, kind or tier"));
+            let mut value = || parts.next().ok_or(bad("a word is missing after zone, kind or tier"));
             match word {
                 "zone" => group.zone = Some(value()?.into()),
-                "kind" if who == Who::Backends => group.kind = Some(value()?.into()),
-                "tier" if who == Who::Backends => {
-                    group.tier = Some(value()?.parse().map_err(|_| bad("a tier is a number from 0"))?);
+                "kind" if members == MemberKind::Backends => group.kind = Some(value()?.into()),
+                "tier" if members == MemberKind::Backends => {
+                    group.tier = Some(value()?.parse().map_err(|_| bad("a tier must be a number from 0"))?);
                 }
-                "leader" if who == Who::List => group.leader = true,
+                "leader" if members == MemberKind::List => group.leader = true,
                 _ => {
                     let number = |s: &str| s.parse::<usize>().map_err(|_| bad("expected N, N-M or P%"));
-                    group.part = match (word.strip_suffix('%'), word.split_once('-')) {
+                    group.selection = match (word.strip_suffix('%'), word.split_once('-')) {
                         (Some(share), _) => {
                             let share: f64 = share.parse().map_err(|_| bad("expected P%"))?;
-                            Part::Share((share / 100.0).clamp(0.0, 1.0))
+                            Selection::Share((share / 100.0).clamp(0.0, 1.0))
                         }
-                        (None, Some((from, to))) => Part::Range(number(from)?, number(to)?),
-                        (None, None) => Part::Range(number(word)?, number(word)?),
+                        (None, Some((from, to))) => Selection::Range(number(from)?, number(to)?),
+                        (None, None) => Selection::Range(number(word)?, number(word)?),
                     };
                 }
             }
@@ -104,23 +109,24 @@
         Ok(group)
     }
 
-    /// Chooses among those that fit the words otherwise: a range by place, a share drawn by `seed`, at least one.
-    pub fn choose(&self, fitting: Vec<usize>, seed: u64) -> Vec<usize> {
-        match self.part {
-            Part::All => fitting,
-            Part::Range(from, to) => fitting
+    /// Selects from the members that match the rest of the expression: a range by position, or a share drawn by
+    /// `seed`, of at least one member.
+    pub fn choose(&self, matching: Vec<usize>, seed: u64) -> Vec<usize> {
+        match self.selection {
+            Selection::All => matching,
+            Selection::Range(from, to) => matching
                 .into_iter()
                 .enumerate()
                 .filter(|(n, _)| (from..=to).contains(n))
                 .map(|(_, m)| m)
                 .collect(),
-            Part::Share(share) => {
-                let mut fitting = fitting;
-                fitting.shuffle(&mut SmallRng::seed_from_u64(seed));
-                let count = ((fitting.len() as f64 * share).round() as usize).max(1).min(fitting.len());
-                fitting.truncate(count);
-                fitting.sort_unstable();
-                fitting
+            Selection::Share(share) => {
+                let mut matching = matching;
+                matching.shuffle(&mut SmallRng::seed_from_u64(seed));
+                let count = ((matching.len() as f64 * share).round() as usize).max(1).min(matching.len());
+                matching.truncate(count);
+                matching.sort_unstable();
+                matching
             }
         }
     }
--- a/testbed/src/http.rs
+++ b/testbed/src/http.rs
@@ -1,5 +1,5 @@
-//! The little HTTP/1.1 that the stand-ins speak: a message read whole, with the time of its first byte, and
-//! answers written in one piece. Bodies go by `Content-Length` only, as `PROTOCOL` allows.
+//! The subset of HTTP/1.1 that emulated clients and servers use: complete messages with the time of their first
+//! byte, and answers written at once. Bodies have a `Content-Length`, never chunks, as `PROTOCOL` allows.
 
 use std::io::{BufRead, Read};
 use std::time::Instant;
@@ -7,40 +7,40 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Largest body taken in: the longest list that a proxy takes is 1 MiB, bodies of requests are at most 64 KiB.
-pub const MOST_BODY: usize = 1 << 20;
-/// Largest head (request or status line and headers).
-pub const MOST_HEAD: usize = 16 << 10;
+/// Maximum body length: the longest list that a proxy accepts has 1 MiB, and request bodies have at most 64 KiB.
+pub const MAX_BODY_BYTES: usize = 1 << 20;
+/// Maximum length of a head (request or status line and headers).
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Why no message came.
+/// Why no message was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReadError {
     /// The connection ended cleanly before the first byte.
     #[error("closed")]
     Closed,
-    /// It broke, or ended inside a message.
+    /// The connection failed, or ended inside a message.
     #[error("broken")]
     Broken,
-    /// What came is not a message of the form, or too long.
+    /// The bytes are not a valid message, or the message is too long.
     #[error("malformed")]
     Malformed,
 }
 
-/// A request or an answer as read.
+/// A request or an answer.
 #[derive(Clone, Debug)]
 pub struct Message {
     /// The request line or the status line, without its line end.
     pub first: String,
-    /// Headers with lower-case names, in their order.
+    /// Headers in the order received, with lower-case names.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
-    /// When its first byte was read: the time that a drain counts from.
+    /// When its first byte was read; checks of draining use this time.
     pub began: Instant,
 }
 
 impl Message {
-    /// The first header of that (lower-case) name.
+    /// The value of the first header with this (lower-case) name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
@@ -50,19 +50,19 @@
         self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    /// Method and target of a request.
+    /// The method and target of a request.
     pub fn method_target(&self) -> (&str, &str) {
         let mut parts = self.first.split(' ');
         (parts.next().unwrap_or(""), parts.next().unwrap_or(""))
     }
 
-    /// Whether its sender closes the connection behind it.
+    /// Whether its sender closes the connection after it.
     pub fn closes(&self) -> bool {
         self.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"))
     }
 }
 
-/// A head without its empty line: its first line, its headers and the length of the body that follows.
+/// A parsed head: its first line, its headers and the length of the body that follows.
 type Head = (String, Vec<(String, String)>, usize);
 
 fn parse_head(head: &[u8]) -> Result<Head, ReadError> {
@@ -77,25 +77,25 @@
     let headers = headers.ok_or(ReadError::Malformed)?;
     let length = headers.iter().find(|(n, _)| n == "content-length").map_or(Ok(0), |(_, v)| v.parse());
     let length: usize = length.map_err(|_| ReadError::Malformed)?;
-    if first.split(' ').count() < 2 || length > MOST_BODY {
+    if first.split(' ').count() < 2 || length > MAX_BODY_BYTES {
         return Err(ReadError::Malformed);
     }
     Ok((first, headers, length))
 }
 
-/// Reads one whole message, for threads that wait. A read time-out of the socket bounds each wait.
+/// Reads one complete message, blocking the thread. A read timeout of the socket bounds each wait.
 ///
 /// # Errors
-/// As [`ReadError`] says.
+/// See [`ReadError`].
 pub fn read(stream: &mut impl BufRead) -> Result<Message, ReadError> {
     if stream.fill_buf().map_err(|_| ReadError::Broken)?.is_empty() {
         return Err(ReadError::Closed);
     }
     let (began, mut head) = (Instant::now(), Vec::new());
     while !head.ends_with(b"\r\n\r\n") {
-        let left = (MOST_HEAD - head.len()) as u64;
-        match stream.by_ref().take(left).read_until(b'\n', &mut head) {
-            Ok(_) if head.len() >= MOST_HEAD => return Err(ReadError::Malformed),
+        let remaining = (MAX_HEAD_BYTES - head.len()) as u64;
+        match stream.by_ref().take(remaining).read_until(b'\n', &mut head) {
+            Ok(_) if head.len() >= MAX_HEAD_BYTES => return Err(ReadError::Malformed),
             Ok(0) | Err(_) => return Err(ReadError::Broken),
             Ok(_) => {}
         }
@@ -106,7 +106,7 @@
     Ok(Message { first, headers, body, began })
 }
 
-/// A connection with what has been read of the next message.
+/// A connection and the bytes already read of the next message.
 pub struct Conn<S = TcpStream> {
     stream: S,
     buffer: Vec<u8>,
@@ -114,73 +114,74 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Conn<S> {
-    /// Around a connected stream.
+    /// Creates one from a connected stream.
     pub fn new(stream: S) -> Self {
         Self { stream, buffer: Vec::new(), began: None }
     }
 
-    /// The stream itself.
+    /// The underlying stream.
     pub fn stream(&self) -> &S {
         &self.stream
     }
 
-    /// Whether nothing of a next message has come.
+    /// Whether no byte of a next message has been read.
     pub fn is_clean(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Reads the next message whole. Cancelling it loses nothing: what was read stays for the next call.
+    /// Reads the next complete message. Cancelling it loses nothing: bytes already read stay for the next call.
     ///
     /// # Errors
-    /// As [`ReadError`] says.
+    /// See [`ReadError`].
     pub async fn read(&mut self) -> Result<Message, ReadError> {
         loop {
             if let Some(message) = self.parse()? {
                 return Ok(message);
             }
-            let mut piece = [0u8; 4096];
-            match self.stream.read(&mut piece).await {
+            let mut chunk = [0u8; 4096];
+            match self.stream.read(&mut chunk).await {
                 Ok(0) if self.buffer.is_empty() => return Err(ReadError::Closed),
                 Ok(0) | Err(_) => return Err(ReadError::Broken),
                 Ok(n) => {
                     self.began.get_or_insert_with(Instant::now);
-                    self.buffer.extend_from_slice(&piece[..n]);
+                    self.buffer.extend_from_slice(&chunk[..n]);
                 }
             }
         }
     }
 
-    /// Takes a whole message off the buffer, if one is there.
+    /// Removes a complete message from the buffer, if there is one.
     fn parse(&mut self) -> Result<Option<Message>, ReadError> {
         let end = self.buffer.windows(4).position(|w| w == b"\r\n\r\n");
         let Some(end) = end else {
-            return if self.buffer.len() > MOST_HEAD { Err(ReadError::Malformed) } else { Ok(None) };
+            return if self.buffer.len() > MAX_HEAD_BYTES { Err(ReadError::Malformed) } else { Ok(None) };
         };
         let (first, headers, length) = parse_head(&self.buffer[..end])?;
-        let whole = end + 4 + length;
-        if self.buffer.len() < whole {
+        let message_end = end + 4 + length;
+        if self.buffer.len() < message_end {
             return Ok(None);
         }
-        let body = self.buffer[end + 4..whole].to_vec();
-        self.buffer.drain(..whole);
+        let body = self.buffer[end + 4..message_end].to_vec();
+        self.buffer.drain(..message_end);
         let began = self.began.take().unwrap_or_else(Instant::now);
         self.began = (!self.buffer.is_empty()).then(Instant::now);
         Ok(Some(Message { first, headers, body, began }))
     }
 
-    /// Writes bytes whole.
+    /// Writes all bytes.
     ///
     /// # Errors
-    /// The system's.
+    /// The error of the system.
     pub async fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.stream.write_all(bytes).await
     }
 }
 
-/// An answer in one piece; `more` holds further header lines, each ended by `\r\n`.
-pub fn answer(status: u16, reason: &str, more: &str, body: &[u8]) -> Vec<u8> {
+/// The bytes of an answer; `more_headers` contains further header lines, each ended by `\r\n`.
+pub fn answer(status: u16, reason: &str, more_headers: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes =
-        format!("HTTP/1.1 {status} {reason}\r\nContent-Length: {}\r\n{more}\r\n", body.len()).into_bytes();
+        format!("HTTP/1.1 {status} {reason}\r\nContent-Length: {}\r\n{more_headers}\r\n", body.len())
+            .into_bytes();
     bytes.extend_from_slice(body);
     bytes
 }
--- a/testbed/src/http/tests.rs
+++ b/testbed/src/http/tests.rs
@@ -3,21 +3,21 @@
 use super::*;
 
 #[tokio::test]
-async fn messages_in_pieces_and_together_are_read_whole_and_bad_ones_are_told() {
-    let (mut far, near) = tokio::io::duplex(1 << 16);
-    let mut conn = Conn::new(near);
+async fn messages_in_chunks_and_pipelined_are_read_completely_and_malformed_ones_are_errors() {
+    let (mut peer, stream) = tokio::io::duplex(1 << 16);
+    let mut conn = Conn::new(stream);
     let two = [answer(200, "OK", "X-A: 1\r\n", b"one"), answer(503, "No", "", b"")].concat();
-    for piece in two.chunks(7) {
-        far.write_all(piece).await.expect("written");
+    for chunk in two.chunks(7) {
+        peer.write_all(chunk).await.expect("written");
     }
     let (one, other) = (conn.read().await.expect("one"), conn.read().await.expect("another"));
     assert_eq!((one.status(), one.header("x-a"), one.body.as_slice()), (200, Some("1"), &b"one"[..]));
     assert_eq!((other.status(), conn.is_clean()), (503, true));
-    far.write_all(b"nonsense\r\n\r\n").await.expect("written");
+    peer.write_all(b"nonsense\r\n\r\n").await.expect("written");
     assert_eq!(conn.read().await.unwrap_err(), ReadError::Malformed);
     let mut conn = Conn::new(tokio::io::duplex(16).0);
     assert_eq!(conn.read().await.unwrap_err(), ReadError::Closed);
-    // The same bytes, for a thread that waits.
+    // The same bytes, read by the blocking function.
     let mut reader = two.as_slice();
     let one = read(&mut reader).expect("one");
     assert_eq!((one.status(), one.header("x-a"), one.body.as_slice()), (200, Some("1"), &b"one"[..]));
--- a/testbed/src/links.rs
+++ b/testbed/src/links.rs
@@ -1,10 +1,10 @@
-//! Links: TCP relays of our own between two processes, whose traffic they can delay, drop, reset, swallow and cut
-//! one way only. Each listens on a port that the system chooses and keeps that address while its target moves
-//! ([`Relay::retarget`]), so a process restarted on a new port is still reached where it was.
+//! Links: TCP relays between two processes, which can delay, drop, reset or swallow the traffic, also in one direction
+//! only. Each listens on a port that the system chooses and keeps that address when its target changes
+//! ([`Relay::retarget`]), so a process restarted on a new port is reached at the same address.
 //!
-//! The faults mean what `PROTOCOL` ("The network") says of real ones: a dead process resets its connections and
-//! refuses new ones (`Cut`); a machine that vanishes keeps open connections open and silent and lets no new one
-//! come up (`BlackHole`), and resets them once it is back.
+//! The faults correspond to the real ones in `PROTOCOL` ("The network"): a dead process resets its connections and
+//! refuses new ones (`Cut`); a machine that vanishes leaves open connections open and silent, establishes no new ones
+//! (`BlackHole`), and resets them once it is back.
 
 use crate::rt::Loop;
 use socket2::SockRef;
@@ -17,34 +17,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Most connections that one relay holds at once; more are closed at once and counted.
-pub const MOST_CONNECTIONS: usize = 512;
-/// Most connections whose time one relay records.
-pub const MOST_TIMES: usize = 100_000;
-/// Longest wait for the target to take a connection.
-const CONNECT_WITHIN: Duration = Duration::from_secs(2);
+/// Maximum number of open connections of a relay; further ones are closed at once and counted.
+pub const MAX_CONNECTIONS: usize = 512;
+/// Maximum number of connections whose time a relay records.
+pub const MAX_RECORDED_TIMES: usize = 100_000;
+/// Timeout for connecting to the target.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a link does.
+/// The fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Bytes pass as they come.
+    /// No fault: bytes pass unchanged.
     Pass,
-    /// Each piece of bytes, either way, passes this much later.
+    /// Each chunk of bytes, in either direction, is delayed by this duration.
     Delay(Duration),
-    /// Every n-th new connection is closed at once after it was accepted, never reaching the target; the
-    /// others pass. Counted, not random, so a run is the same each time.
+    /// One in `one_in` new connections is closed at once after it was accepted, without reaching the target; the
+    /// others pass. Counted, not random, so that runs are repeatable.
     Drop {
-        /// The n: 1 drops all.
+        /// The interval; 1 drops all connections.
         one_in: u64,
     },
-    /// New connections are accepted and hear nothing; bytes on open ones are swallowed both ways.
-    /// Lifting it resets the connections that it held.
+    /// New connections are accepted but get no answer; bytes on open ones are swallowed in both directions.
+    /// Lifting the fault resets the connections.
     BlackHole,
-    /// The same for what passes to the target only: it hears nothing, and what it says passes.
+    /// The same for bytes to the target only; bytes from the target pass.
     BlackHoleTo,
-    /// The same for what passes from the target only: it hears, and is not heard.
+    /// The same for bytes from the target only; bytes to the target pass.
     BlackHoleFrom,
-    /// Open connections are reset now, and each new one is reset as it comes, until lifted.
+    /// Open connections are reset at once, and each new one is reset when accepted, until the fault is lifted.
     Cut,
 }
 
@@ -58,34 +58,34 @@
         }
     }
 
-    fn is_hole(self) -> bool {
+    fn is_black_hole(self) -> bool {
         matches!(self, Fault::BlackHole | Fault::BlackHoleTo | Fault::BlackHoleFrom)
     }
 }
 
-/// Counts of what the relay did, for a test's report.
+/// Counters of a relay's activity.
 #[derive(Debug, Default)]
 pub struct Counts {
     /// Connections accepted.
     pub accepted: AtomicU64,
-    /// When, for the first `MOST_TIMES` of them.
+    /// When they were accepted, for the first `MAX_RECORDED_TIMES` of them.
     pub times: Mutex<Vec<Instant>>,
-    /// Connections closed for the `Drop` fault or for `MOST_CONNECTIONS`.
+    /// Connections closed because of the `Drop` fault or `MAX_CONNECTIONS`.
     pub dropped: AtomicU64,
-    /// Connections reset by `reset`, `Cut`, or the lifting of a black hole.
+    /// Connections reset by `reset`, by `Cut`, or when a black hole was lifted.
     pub reset: AtomicU64,
     /// Bytes swallowed by a black hole.
     pub swallowed: AtomicU64,
     /// Bytes passed to the target.
     pub bytes_to_target: AtomicU64,
-    /// Pieces in which they came: a small request comes in one.
+    /// Chunks in which they were read: a small request is one chunk.
     pub pieces_to_target: AtomicU64,
     /// Bytes passed from the target.
     pub bytes_from_target: AtomicU64,
 }
 
 impl Counts {
-    /// Counts a piece that passes.
+    /// Counts a chunk that passes.
     fn pass(&self, to_target: bool, bytes: u64) {
         if to_target {
             self.bytes_to_target.fetch_add(bytes, Ordering::Relaxed);
@@ -96,7 +96,7 @@
     }
 }
 
-/// Sees the bytes that pass from the target, piece by piece.
+/// A callback that gets each chunk of bytes that passes from the target.
 pub type Tap = Arc<dyn Fn(&[u8]) + Send + Sync>;
 
 struct Shared {
@@ -104,13 +104,13 @@
     target: Mutex<SocketAddr>,
     counts: Counts,
     open: AtomicU64,
-    /// Counts up with each reset: connections of an earlier count end.
+    /// Incremented by each reset, which ends the connections opened before.
     resets: watch::Sender<u64>,
-    ended: AtomicBool,
+    is_dropped: AtomicBool,
     tap: Option<Tap>,
 }
 
-/// A relay in front of one target. Dropping it resets all that it holds.
+/// A relay in front of one target. Dropping it resets its connections.
 pub struct Relay {
     shared: Arc<Shared>,
     address: SocketAddr,
@@ -124,15 +124,15 @@
     /// Starts relaying from a new loopback port to `target`.
     ///
     /// # Errors
-    /// Where no port can be had.
+    /// If no port can be bound.
     pub fn start(target: SocketAddr) -> std::io::Result<Self> {
         Self::start_with(target, None)
     }
 
-    /// The same, with a tap on what the target says.
+    /// Does the same, with a callback for the bytes that the target sends.
     ///
     /// # Errors
-    /// Where no port can be had.
+    /// If no port can be bound.
     pub fn start_with(target: SocketAddr, tap: Option<Tap>) -> std::io::Result<Self> {
         let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
@@ -143,7 +143,7 @@
             counts: Counts::default(),
             open: AtomicU64::new(0),
             resets: watch::channel(0).0,
-            ended: AtomicBool::new(false),
+            is_dropped: AtomicBool::new(false),
             tap,
         });
         let accepting = shared.clone();
@@ -155,30 +155,30 @@
         Ok(Self { shared, address })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it did so far.
+    /// Its counters.
     pub fn counts(&self) -> &Counts {
         &self.shared.counts
     }
 
-    /// Sends new connections to `target` from now on; open ones stay where they are.
+    /// Sends new connections to `target` from now on; open ones are not affected.
     pub fn retarget(&self, target: SocketAddr) {
         *lock(&self.shared.target) = target;
     }
 
-    /// Puts a fault on the link, or lifts one with `Fault::Pass`.
+    /// Sets the fault of the link; `Fault::Pass` lifts it.
     pub fn set(&self, fault: Fault) {
-        let before = std::mem::replace(&mut *lock(&self.shared.fault), fault);
-        if fault == Fault::Cut || (before.is_hole() && before != fault) {
+        let previous = std::mem::replace(&mut *lock(&self.shared.fault), fault);
+        if fault == Fault::Cut || (previous.is_black_hole() && previous != fault) {
             self.reset();
         }
     }
 
-    /// Resets every open connection now (RST to both sides); the fault stays as it is.
+    /// Resets every open connection (RST to both sides); the fault does not change.
     pub fn reset(&self) {
         self.shared.counts.reset.fetch_add(self.shared.open.load(Ordering::SeqCst), Ordering::Relaxed);
         self.shared.resets.send_modify(|n| *n += 1);
@@ -187,12 +187,12 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.shared.ended.store(true, Ordering::SeqCst);
+        self.shared.is_dropped.store(true, Ordering::SeqCst);
         self.reset();
     }
 }
 
-/// Makes the close of this socket a reset.
+/// Sets the socket to be reset, not closed cleanly, when it is closed.
 pub fn abort(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
@@ -203,14 +203,14 @@
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             _ = resets.changed() => {
-                if shared.ended.load(Ordering::SeqCst) {
+                if shared.is_dropped.load(Ordering::SeqCst) {
                     return;
                 }
                 continue;
             }
         };
         let Ok((client, _)) = accepted else {
-            // Out of descriptors, most often: wait a little rather than spin.
+            // Usually out of descriptors: wait to avoid a busy loop.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -218,14 +218,14 @@
         let counts = &shared.counts;
         counts.accepted.fetch_add(1, Ordering::Relaxed);
         let mut times = lock(&counts.times);
-        if times.len() < MOST_TIMES {
+        if times.len() < MAX_RECORDED_TIMES {
             times.push(Instant::now());
         }
         drop(times);
         let _ = client.set_nodelay(true);
         let fault = *lock(&shared.fault);
         let drops = matches!(fault, Fault::Drop { one_in } if one_in > 0 && number.is_multiple_of(one_in));
-        if drops || shared.open.load(Ordering::SeqCst) >= MOST_CONNECTIONS as u64 {
+        if drops || shared.open.load(Ordering::SeqCst) >= MAX_CONNECTIONS as u64 {
             counts.dropped.fetch_add(1, Ordering::Relaxed);
             continue;
         }
@@ -246,8 +246,8 @@
 
 async fn serve(client: TcpStream, shared: &Arc<Shared>, fault: Fault, mut reset: watch::Receiver<u64>) {
     if fault.swallows(true) {
-        // It never comes up for the target: held silent until the hole is lifted.
-        let held = async {
+        // The target is not connected; bytes are swallowed until the black hole is lifted.
+        let swallowing = async {
             let mut buffer = [0u8; 4096];
             while let Ok(()) = client.readable().await {
                 match client.try_read(&mut buffer) {
@@ -259,7 +259,7 @@
             }
         };
         let lifted = tokio::select! {
-            () = held => false,
+            () = swallowing => false,
             _ = reset.changed() => true,
         };
         if lifted {
@@ -269,19 +269,19 @@
     }
     let target = *lock(&shared.target);
     let connected = tokio::select! {
-        connected = tokio::time::timeout(CONNECT_WITHIN, TcpStream::connect(target)) => connected,
+        connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(target)) => connected,
         _ = reset.changed() => return abort(&client),
     };
     let Ok(Ok(server)) = connected else {
-        // The target refused or never came up: so does the relay, by a reset.
+        // The target refused the connection or did not answer: the relay resets its client.
         return abort(&client);
     };
     let _ = server.set_nodelay(true);
     abort(&client);
     abort(&server);
-    // Borrowed halves: an owned one would end its way cleanly when dropped, ahead of the reset.
+    // Borrowed halves: an owned one would shut its direction down cleanly when dropped, before the reset.
     let (mut client, mut server) = (client, server);
-    let ended = {
+    let is_clean_end = {
         let ((client_in, client_out), (server_in, server_out)) = (client.split(), server.split());
         let both = async {
             tokio::join!(
@@ -294,15 +294,15 @@
             _ = reset.changed() => false,
         }
     };
-    // A clean end closes cleanly: the linger that makes a reset of every other end is taken back.
-    if ended {
+    // The linger option, which turns every other end into a reset, is removed so that a clean end closes cleanly.
+    if is_clean_end {
         for stream in [&client, &server] {
             let _ = SockRef::from(stream).set_linger(None);
         }
     }
 }
 
-/// Moves bytes one way until either side ends, under the fault of the moment.
+/// Copies bytes in one direction until either side ends, applying the current fault.
 async fn pump(mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, shared: &Shared, to_target: bool) {
     let mut buffer = vec![0u8; 16 << 10];
     loop {
@@ -326,6 +326,6 @@
             break;
         }
     }
-    // An end passes on as an end, and the other pump then ends too.
+    // The end is passed on, so that the other direction ends too.
     let _ = to.shutdown().await;
 }
--- a/testbed/src/model.rs
+++ b/testbed/src/model.rs
@@ -1,59 +1,64 @@
-//! One emulated backend as a queueing model: a pure state machine without I/O that is told the time, after the
-//! brief ("Servers", "Boxes in detail", "Seen in service").
+//! The queueing model of one emulated backend: a state machine without I/O whose time is set by its caller. It follows
+//! the brief ("Servers", "Boxes in detail", "Seen in service").
 //!
-//! Time is in seconds from the start of the run; work is in seconds of a core of the yardstick speed. A backend
-//! has `cores` servers before one queue, first come first served. Every core works at one rate, the product of
-//! its speed and of what slows it at the moment (cold, neighbour, overload, freeze). [`Model::advance`] ends
-//! work at the exact time that the rate gives, whenever it is called, so the lateness of whoever drives the
-//! model does not add up; waits in its figures are the model's own.
+//! Time is in seconds from the start of the run; work is in seconds of a core of speed 1. A backend has `cores`
+//! servers with one queue, first come first served. All cores work at the same rate, the product of their speed and of
+//! the current slowdowns (cold, neighbour, overload, freeze). [`Model::advance`] ends work at the exact time that the
+//! rate gives, whenever it is called, so that the lateness of the caller does not add up; waits in its figures are
+//! those of the model.
 
 use serde::Deserialize;
 use std::collections::VecDeque;
 
-/// What a backend is, in an experiment file's `[[backends]]`.
+/// The properties of a kind of backend, from `[[backends]]` of an experiment file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Kind {
-    /// Its name, listed as the machine type.
+    /// Its name, which is listed as the machine type.
     pub name: String,
-    /// How many there are of it.
+    /// The number of backends of this kind.
     pub count: usize,
-    /// Servers before its queue.
+    /// The number of cores: requests that run at once.
     pub cores: usize,
-    /// Each core's speed against the yardstick, drawn from this range.
+    /// The range from which the speed of a backend's cores is drawn; 1 is the reference speed.
     pub speed: [f64; 2],
-    /// Its listed weight.
+    /// Its weight in the list.
     pub weight: f64,
-    /// Requests that may wait; more are turned away.
+    /// The maximum number of waiting requests; further ones are rejected.
     pub queue: usize,
-    /// Connections that it holds; more are turned away.
+    /// The maximum number of connections; requests on further ones are rejected.
     pub connections: usize,
-    /// Work of a new connection, in milliseconds, paid by its first request.
+    /// The work of a new connection, in milliseconds, added to its first request.
     pub handshake_ms: f64,
-    /// It closes a connection idle for this long, in seconds.
+    /// The idle timeout of its connections, in seconds.
     pub idle_close: f64,
-    /// How often its load report is made anew, in milliseconds, drawn from this range.
+    /// The range from which the interval of its load reports is drawn, in milliseconds.
     pub report_ms: [f64; 2],
-    /// Whether it starts cold when it starts mid-run.
+    /// Whether it is cold when it starts during a run.
     pub cold: bool,
-    /// The capacity share at which it starts cold.
+    /// The fraction of its capacity that it has when it starts cold.
     pub cold_share: f64,
-    /// Seconds until it is warm.
+    /// Seconds from a cold start until it is warm.
     pub warm_after: f64,
-    /// The multiple of its capacity under which it falls over while cold.
+    /// While cold, it fails if it is sent more than this multiple of its capacity for `tip_after`.
     pub fall_multiple: f64,
-    /// For how many seconds it must be sent that much to fall.
+    /// Seconds for which it must be sent that much to fail.
     pub tip_after: f64,
-    /// Waiting requests a core above which it counts as far too much waiting.
-    pub swamped: f64,
-    /// For how many seconds that must last until it turns slower.
-    pub swamped_after: f64,
-    /// By what factor it then is slower.
-    pub swamped_slower: f64,
-    /// How long it stays so, in seconds: until mostly idle for the first, or the second.
-    pub swamped_until: [f64; 2],
-    /// Whether requests never queue and take their work's time whatever the load: a delay, not a server.
-    pub ample: bool,
+    /// The number of waiting requests per core above which it counts as overloaded.
+    #[serde(rename = "swamped")]
+    pub overload_threshold: f64,
+    /// Seconds of overload after which it becomes slower.
+    #[serde(rename = "swamped_after")]
+    pub overload_after: f64,
+    /// The factor by which it is then slower.
+    #[serde(rename = "swamped_slower")]
+    pub overload_slowdown: f64,
+    /// When the slowdown ends, in seconds: after being mostly idle for the first, at the latest after the second.
+    #[serde(rename = "swamped_until")]
+    pub overload_until: [f64; 2],
+    /// Whether requests never queue and take the time of their work at any load: a delay, not a server.
+    #[serde(rename = "ample")]
+    pub is_delay_only: bool,
 }
 
 impl Default for Kind {
@@ -74,85 +79,88 @@
             warm_after: 8.8,
             fall_multiple: 4.0,
             tip_after: 3.0,
-            swamped: 8.0,
-            swamped_after: 2.0,
-            swamped_slower: 3.0,
-            swamped_until: [3.6, 25.0],
-            ample: false,
+            overload_threshold: 8.0,
+            overload_after: 2.0,
+            overload_slowdown: 3.0,
+            overload_until: [3.6, 25.0],
+            is_delay_only: false,
         }
     }
 }
 
-/// Why a request is turned away before it ran.
+/// Why a request is rejected before it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turned {
-    /// As many wait as may.
+    /// The queue is full.
     Full,
-    /// It drains.
+    /// The backend drains.
     Draining,
-    /// It has fallen over, or is off.
+    /// The backend has failed, or is not running.
     Down,
 }
 
-/// A request that has ended in the model.
+/// A request that has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Done {
-    /// Its number, as given on arrival.
+    /// Its number, given on arrival.
     pub job: u64,
-    /// When it ended.
+    /// When it ended, in seconds of the run.
     pub at: f64,
-    /// How long it waited before a core took it, in seconds.
+    /// How long it waited in the queue, in seconds.
     pub waited: f64,
-    /// Whether its time was over before a core took it, so that it never ran.
+    /// Whether it was still queued at its deadline, so that it never ran.
     pub expired: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Job {
     job: u64,
-    arrived: f64,
-    /// Its caller has gone by then.
-    until: f64,
+    arrived_at: f64,
+    /// If it is still queued then, it does not run.
+    deadline: f64,
     work: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Running {
     job: Job,
-    left: f64,
-    began: f64,
+    work_left: f64,
+    started_at: f64,
 }
 
-/// Work left that counts as none: above what a clock of some days in seconds can tell apart, so that time passes.
-const DONE: f64 = 1e-9;
-/// How often slow changes (warming, overload) are looked at.
-const TICK: f64 = 0.05;
+/// Remaining work, in seconds, that counts as none: above the precision of an `f64` time of some days, so that time
+/// advances.
+const WORK_TOLERANCE_S: f64 = 1e-9;
+/// The interval at which slow changes (warming, overload) are computed, in seconds.
+const TICK_S: f64 = 0.05;
 
-/// One backend's state.
+/// The state of one backend.
 #[derive(Clone, Debug)]
 pub struct Model {
     kind: Kind,
     speed: f64,
     running: Vec<Running>,
     waiting: VecDeque<Job>,
-    /// Up to when it has been advanced.
+    /// The time up to which it has been advanced.
     now: f64,
-    tick: f64,
-    /// When it started cold, if it is not warm yet.
+    next_tick: f64,
+    /// When it started, if it is cold.
     cold_since: Option<f64>,
-    /// Work that arrived in each of the last ticks, and the capacity of each, for the fall.
+    /// The work that arrived in each of the last ticks, and the capacity of each, to decide whether a cold backend
+    /// fails.
     offered: VecDeque<(f64, f64)>,
-    arriving: f64,
-    /// The share of each core that a neighbour leaves, and until when it is frozen.
-    neighbour: f64,
+    /// The work that arrived since the last tick.
+    arrived_work: f64,
+    /// The fraction of each core that a neighbour does not use.
+    available_share: f64,
     frozen: bool,
-    swamped_for: f64,
-    swamped_since: Option<f64>,
+    overloaded_for: f64,
+    overloaded_since: Option<f64>,
     idle_for: f64,
-    slow: f64,
-    /// Whether it has fallen over.
+    speed_factor: f64,
+    /// Whether it has failed under load while cold.
     pub fallen: bool,
-    /// Whether it takes nothing new.
+    /// Whether it rejects new requests.
     pub draining: bool,
 }
 
@@ -166,96 +174,96 @@
             running: Vec::new(),
             waiting: VecDeque::new(),
             now,
-            tick: now + TICK,
+            next_tick: now + TICK_S,
             cold_since,
             offered: VecDeque::new(),
-            arriving: 0.0,
-            neighbour: 1.0,
+            arrived_work: 0.0,
+            available_share: 1.0,
             frozen: false,
-            swamped_for: 0.0,
-            swamped_since: None,
+            overloaded_for: 0.0,
+            overloaded_since: None,
             idle_for: 0.0,
-            slow: 1.0,
+            speed_factor: 1.0,
             fallen: false,
             draining: false,
         }
     }
 
-    /// Requests that it holds: waiting and running.
+    /// The number of requests in flight: waiting and running.
     pub fn in_flight(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Requests waiting.
+    /// The number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether it has not warmed up yet.
+    /// Whether it is cold: not yet warm after its start.
     pub fn is_cold(&self) -> bool {
         self.cold_since.is_some()
     }
 
-    /// The speed of its cores when nothing slows them.
+    /// The speed of its cores without slowdowns.
     pub fn speed(&self) -> f64 {
         self.speed
     }
 
-    /// What it can do a second at the moment, in work.
+    /// Its current capacity, in work per second.
     pub fn capacity(&self) -> f64 {
         self.rate() * self.kind.cores as f64
     }
 
-    /// The part of its full rate at which it works because it is cold.
+    /// The fraction of its full rate that it reaches while cold; 1 if warm.
     fn warmth(&self) -> f64 {
         let Some(since) = self.cold_since else { return 1.0 };
-        let warmed = ((self.now - since) / self.kind.warm_after).clamp(0.0, 1.0);
-        self.kind.cold_share + (1.0 - self.kind.cold_share) * warmed
+        let progress = ((self.now - since) / self.kind.warm_after).clamp(0.0, 1.0);
+        self.kind.cold_share + (1.0 - self.kind.cold_share) * progress
     }
 
     fn rate(&self) -> f64 {
         if self.frozen || self.fallen {
             return 0.0;
         }
-        self.speed * self.slow * self.neighbour * self.warmth() / self.overload()
+        self.speed * self.speed_factor * self.available_share * self.warmth() / self.slowdown()
     }
 
-    fn overload(&self) -> f64 {
-        if self.swamped_since.is_some() { self.kind.swamped_slower } else { 1.0 }
+    fn slowdown(&self) -> f64 {
+        if self.overloaded_since.is_some() { self.kind.overload_slowdown } else { 1.0 }
     }
 
-    /// Slows all cores to this part of their speed (a fault), from `now` on.
-    pub fn slow_to(&mut self, part: f64) {
-        self.slow = part;
+    /// Slows all cores to this fraction of their speed (a fault).
+    pub fn slow_to(&mut self, fraction: f64) {
+        self.speed_factor = fraction;
     }
 
-    /// A neighbour leaves this part of the machine.
-    pub fn neighbour_leaves(&mut self, part: f64) {
-        self.neighbour = part;
+    /// Sets the fraction of the machine that a neighbour does not use.
+    pub fn set_available_share(&mut self, share: f64) {
+        self.available_share = share;
     }
 
-    /// Stands still, or goes on.
+    /// Stops all cores, or resumes them.
     pub fn freeze(&mut self, frozen: bool) {
         self.frozen = frozen;
     }
 
-    /// A request arrives at `now`, to which the model has been advanced: its work in seconds of the yardstick,
-    /// and when its caller will have gone.
+    /// Adds a request at the time to which the model has been advanced; `work` is in seconds of a core of speed 1,
+    /// `deadline` in seconds of the run.
     ///
     /// # Errors
-    /// Why it is turned away.
-    pub fn arrive(&mut self, job: u64, work: f64, until: f64) -> Result<(), Turned> {
+    /// Why it is rejected.
+    pub fn arrive(&mut self, job: u64, work: f64, deadline: f64) -> Result<(), Turned> {
         if self.fallen {
             return Err(Turned::Down);
         }
-        // What is sent counts for the fall, whether or not it is taken.
-        self.arriving += work;
+        // All work that is sent can make a cold backend fail, whether or not it is rejected.
+        self.arrived_work += work;
         if self.draining {
             return Err(Turned::Draining);
         }
-        let job = Job { job, arrived: self.now, until, work };
-        if self.kind.ample || self.running.len() < self.kind.cores {
-            self.running.push(Running { job, left: work, began: self.now });
+        let job = Job { job, arrived_at: self.now, deadline, work };
+        if self.kind.is_delay_only || self.running.len() < self.kind.cores {
+            self.running.push(Running { job, work_left: work, started_at: self.now });
         } else if self.waiting.len() >= self.kind.queue {
             return Err(Turned::Full);
         } else {
@@ -264,78 +272,78 @@
         Ok(())
     }
 
-    /// When something next happens by itself.
+    /// The time of the next event, if no request arrives before.
     pub fn next(&self) -> f64 {
         let rate = self.rate();
-        let ends = self.running.iter().map(|r| r.left / rate).fold(f64::INFINITY, f64::min);
-        (self.now + ends).min(self.tick)
+        let ends = self.running.iter().map(|r| r.work_left / rate).fold(f64::INFINITY, f64::min);
+        (self.now + ends).min(self.next_tick)
     }
 
-    /// Lets time pass up to `to`; whatever ends on the way goes into `done`, in order of time.
+    /// Advances the time to `to`; requests that end are added to `done`, in order of time.
     pub fn advance(&mut self, to: f64, done: &mut Vec<Done>) {
         while self.now < to {
             let at = self.next().min(to).max(self.now);
-            let passed = (at - self.now) * self.rate();
+            let work_done = (at - self.now) * self.rate();
             self.now = at;
             for running in &mut self.running {
-                running.left -= passed;
+                running.work_left -= work_done;
             }
             let mut n = 0;
             while n < self.running.len() {
-                if self.running[n].left > DONE {
+                if self.running[n].work_left > WORK_TOLERANCE_S {
                     n += 1;
                     continue;
                 }
-                let Running { job, began, .. } = self.running.swap_remove(n);
-                done.push(Done { job: job.job, at, waited: began - job.arrived, expired: false });
+                let Running { job, started_at, .. } = self.running.swap_remove(n);
+                done.push(Done { job: job.job, at, waited: started_at - job.arrived_at, expired: false });
             }
             while self.running.len() < self.kind.cores {
                 let Some(job) = self.waiting.pop_front() else { break };
-                if job.until <= at {
-                    done.push(Done { job: job.job, at, waited: at - job.arrived, expired: true });
+                if job.deadline <= at {
+                    done.push(Done { job: job.job, at, waited: at - job.arrived_at, expired: true });
                 } else {
-                    self.running.push(Running { job, left: job.work, began: at });
+                    self.running.push(Running { job, work_left: job.work, started_at: at });
                 }
             }
-            if at >= self.tick {
-                self.tick = at + TICK;
-                self.look(done);
+            if at >= self.next_tick {
+                self.next_tick = at + TICK_S;
+                self.tick(done);
             }
         }
     }
 
-    /// The slow changes: warming, falling over, turning slow under far too much waiting.
-    fn look(&mut self, done: &mut Vec<Done>) {
+    /// Computes the slow changes: warming, failing while cold, and the slowdown under overload.
+    fn tick(&mut self, done: &mut Vec<Done>) {
         if self.cold_since.is_some_and(|since| self.now - since >= self.kind.warm_after) {
             self.cold_since = None;
         }
         if self.is_cold() && !self.fallen {
-            self.offered.push_back((self.arriving, self.capacity() * TICK));
-            let ticks = (self.kind.tip_after / TICK) as usize;
+            self.offered.push_back((self.arrived_work, self.capacity() * TICK_S));
+            let ticks = (self.kind.tip_after / TICK_S) as usize;
             if self.offered.len() > ticks {
                 self.offered.pop_front();
             }
-            let (sent, able) = self.offered.iter().fold((0.0, 0.0), |s, o| (s.0 + o.0, s.1 + o.1));
-            if self.offered.len() >= ticks && sent > self.kind.fall_multiple * able {
+            let (sent, capacity) = self.offered.iter().fold((0.0, 0.0), |s, o| (s.0 + o.0, s.1 + o.1));
+            if self.offered.len() >= ticks && sent > self.kind.fall_multiple * capacity {
                 self.fallen = true;
-                let held = self.running.drain(..).map(|r| r.job).chain(self.waiting.drain(..));
-                done.extend(held.map(|j| Done { job: j.job, at: self.now, waited: 0.0, expired: true }));
+                let in_flight = self.running.drain(..).map(|r| r.job).chain(self.waiting.drain(..));
+                done.extend(in_flight.map(|j| Done { job: j.job, at: self.now, waited: 0.0, expired: true }));
             }
         } else {
             self.offered.clear();
         }
-        self.arriving = 0.0;
+        self.arrived_work = 0.0;
         let cores = self.kind.cores as f64;
-        let swamped = self.waiting.len() as f64 > self.kind.swamped * cores;
-        self.swamped_for = if swamped { self.swamped_for + TICK } else { 0.0 };
+        let overloaded = self.waiting.len() as f64 > self.kind.overload_threshold * cores;
+        self.overloaded_for = if overloaded { self.overloaded_for + TICK_S } else { 0.0 };
         let idle = (self.running.len() as f64) < 0.5 * cores && self.waiting.is_empty();
-        self.idle_for = if idle { self.idle_for + TICK } else { 0.0 };
-        match self.swamped_since {
-            None if self.swamped_for >= self.kind.swamped_after => self.swamped_since = Some(self.now),
+        self.idle_for = if idle { self.idle_for + TICK_S } else { 0.0 };
+        match self.overloaded_since {
+            None if self.overloaded_for >= self.kind.overload_after => self.overloaded_since = Some(self.now),
             Some(since) => {
-                let [idle_for, longest] = self.kind.swamped_until;
-                if self.idle_for >= idle_for || self.now - since >= longest {
-                    self.swamped_since = None;
+                let [idle_for, max_duration] = self.kind.overload_until;
+                if self.idle_for >= idle_for || self.now - since >= max_duration {
+                    self.overloaded_since = None;
                 }
             }
             None => {}
--- a/testbed/src/plots.rs
+++ b/testbed/src/plots.rs
@@ -1,5 +1,5 @@
-//! A run's plots as SVG files: requests over time with the faults marked, latency percentiles, each backend's
-//! load over time as a heat map, each proxy's list revision over time.
+//! The plots of a run, as SVG files: requests over time with the faults marked, latency percentiles, the load of each
+//! backend over time as a heat map, and the list revision of each proxy over time.
 
 use crate::record::{BIN, End, Outcome, Record};
 use crate::report::Report;
@@ -8,27 +8,27 @@
 use plotters::prelude::*;
 use std::path::Path;
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
-/// A line's name, points and color.
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
+/// The name, points and color of a line.
 type Line = (&'static str, Vec<(f64, f64)>, RGBColor);
-const SIZE: (u32, u32) = (1100, 480);
-/// Most proxies drawn as lines of their own.
-const MOST_LINES: usize = 60;
+const SIZE_PX: (u32, u32) = (1100, 480);
+/// Maximum number of proxies that are drawn.
+const MAX_LINES: usize = 60;
 
 /// Draws all plots into `dir`.
 ///
 /// # Errors
-/// What the drawing or the files say.
-pub fn draw(dir: &Path, report: &Report, ends: &[End], machines: &[Machine], record: &Record) -> Drawn {
-    let until = report.whole.span[1].max(1.0);
-    requests(&dir.join("requests.svg"), report, ends, until)?;
+/// If drawing or writing a file fails.
+pub fn draw(dir: &Path, report: &Report, ends: &[End], machines: &[Machine], record: &Record) -> DrawResult {
+    let end_s = report.whole.span[1].max(1.0);
+    requests(&dir.join("requests.svg"), report, ends, end_s)?;
     latency(&dir.join("latency.svg"), ends)?;
-    loads(&dir.join("load.svg"), machines, until)?;
-    revisions(&dir.join("revisions.svg"), record, report.proxies, until)
+    loads(&dir.join("load.svg"), machines, end_s)?;
+    revisions(&dir.join("revisions.svg"), record, report.proxies, end_s)
 }
 
-fn requests(path: &Path, report: &Report, ends: &[End], until: f64) -> Drawn {
-    let seconds = until.ceil() as usize;
+fn requests(path: &Path, report: &Report, ends: &[End], end_s: f64) -> DrawResult {
+    let seconds = end_s.ceil() as usize;
     let count = |keep: &dyn Fn(&End) -> bool| -> Vec<(f64, f64)> {
         let mut bins = vec![0.0; seconds + 1];
         for end in ends.iter().filter(|e| keep(e)) {
@@ -36,31 +36,31 @@
         }
         bins.iter().take(seconds).enumerate().map(|(s, n)| (s as f64 + 0.5, *n)).collect()
     };
-    let is = |outcome: Outcome| move |e: &End| e.outcome == outcome;
+    let ended_as = |outcome: Outcome| move |e: &End| e.outcome == outcome;
     let lines: [Line; 6] = [
         ("offered", count(&|_| true), BLACK),
-        ("served", count(&is(Outcome::Served)), RGBColor(0, 130, 60)),
-        ("refused", count(&is(Outcome::Refused)), RGBColor(220, 140, 0)),
-        ("failed", count(&is(Outcome::Failed)), RED),
-        ("died", count(&is(Outcome::Died)), RGBColor(120, 120, 120)),
-        ("lost", count(&is(Outcome::Lost)), MAGENTA),
+        ("served", count(&ended_as(Outcome::Served)), RGBColor(0, 130, 60)),
+        ("refused", count(&ended_as(Outcome::Refused)), RGBColor(220, 140, 0)),
+        ("failed", count(&ended_as(Outcome::Failed)), RED),
+        ("died", count(&ended_as(Outcome::Died)), RGBColor(120, 120, 120)),
+        ("lost", count(&ended_as(Outcome::Lost)), MAGENTA),
     ];
     let top = lines[0].1.iter().map(|(_, n)| *n).fold(1.0, f64::max) * 1.15;
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let area = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
-    let title = format!("{} (seed {}): requests a second by their end", report.name, report.seed);
+    let title = format!("{} (seed {}): requests per second by outcome", report.name, report.seed);
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..until, 0.0..top)?;
+        .build_cartesian_2d(0.0..end_s, 0.0..top)?;
     chart.configure_mesh().x_desc("s").draw()?;
     for (name, points, color) in lines {
         let line = chart.draw_series(LineSeries::new(points, color.stroke_width(2)))?;
         line.label(name).legend(move |(x, y)| PathElement::new([(x, y), (x + 15, y)], color));
     }
-    for (n, (at, words)) in report.faults.iter().filter(|(at, _)| *at <= until).take(30).enumerate() {
+    for (n, (at, words)) in report.faults.iter().filter(|(at, _)| *at <= end_s).take(30).enumerate() {
         chart.draw_series(LineSeries::new([(*at, 0.0), (*at, top)], BLUE.mix(0.4)))?;
         let height = top * (0.98 - 0.05 * (n % 4) as f64);
         chart.draw_series([Text::new(words.clone(), (*at, height), ("sans-serif", 11).into_font())])?;
@@ -70,21 +70,21 @@
     Ok(())
 }
 
-fn latency(path: &Path, ends: &[End]) -> Drawn {
+fn latency(path: &Path, ends: &[End]) -> DrawResult {
     let mut all = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3)?;
     for end in ends.iter().filter(|e| e.outcome == Outcome::Served) {
         all.saturating_record(((end.latency * 1e6) as u64).max(1));
     }
-    // Percentiles by nines: 50% at 0.3, 90% at 1, 99% at 2, 99.9% at 3.
+    // The x axis counts the nines of a percentile: 50% is at 0.3, 90% at 1, 99% at 2, 99.9% at 3.
     let points: Vec<(f64, f64)> = (0..=300)
         .map(|n| f64::from(n) / 100.0)
         .map(|nines| (nines, all.value_at_quantile(1.0 - 10f64.powf(-nines)) as f64 / 1e3))
         .collect();
     let top = points.iter().map(|(_, ms)| *ms).fold(1.0, f64::max) * 1.1;
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let area = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .caption("latency of what was served, from when it was to be sent", ("sans-serif", 18))
+        .caption("latency of served requests, from their due time", ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(60)
@@ -96,9 +96,9 @@
     Ok(())
 }
 
-fn loads(path: &Path, machines: &[Machine], until: f64) -> Drawn {
+fn loads(path: &Path, machines: &[Machine], end_s: f64) -> DrawResult {
     let step = (0.5 / BIN) as usize;
-    let columns = (until / BIN) as usize / step;
+    let columns = (end_s / BIN) as usize / step;
     let rows: Vec<Vec<f64>> = machines
         .iter()
         .filter(|m| m.tier == 0)
@@ -117,13 +117,13 @@
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(
-            "load by backend, over weight and speed (white: none, black: 3 times the mean)",
+            "load by backend, relative to weight and speed (white: none, black: 3 times the mean)",
             ("sans-serif", 16),
         )
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(40)
-        .build_cartesian_2d(0.0..until, 0.0..rows.len().max(1) as f64)?;
+        .build_cartesian_2d(0.0..end_s, 0.0..rows.len().max(1) as f64)?;
     chart.configure_mesh().disable_mesh().x_desc("s").draw()?;
     chart.draw_series(rows.iter().enumerate().flat_map(|(row, values)| {
         values.iter().enumerate().filter(|(_, v)| **v > 0.0).map(move |(column, value)| {
@@ -139,9 +139,9 @@
     Ok(())
 }
 
-fn revisions(path: &Path, record: &Record, proxies: usize, until: f64) -> Drawn {
-    let told = record.told_all();
-    let all = told.iter().take(proxies.min(MOST_LINES));
+fn revisions(path: &Path, record: &Record, proxies: usize, end_s: f64) -> DrawResult {
+    let revisions = record.told_all();
+    let all = revisions.iter().take(proxies.min(MAX_LINES));
     let (mut low, mut high) = (f64::INFINITY, 1.0f64);
     for (revision, _) in all.clone().flatten() {
         (low, high) = (low.min(*revision as f64), high.max(*revision as f64));
@@ -149,25 +149,25 @@
     if !low.is_finite() || low >= high {
         (low, high) = (high - 1.0, high + 1.0);
     }
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let area = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .caption("list revision told, by proxy (the first 60)", ("sans-serif", 18))
+        .caption("list revision by proxy (the first 60)", ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..until, low..high + 1.0)?;
+        .build_cartesian_2d(0.0..end_s, low..high + 1.0)?;
     chart.configure_mesh().x_desc("s").draw()?;
     for (n, steps) in all.enumerate() {
         let mut points: Vec<(f64, f64)> = Vec::new();
         for (revision, at) in steps {
-            if let Some((_, before)) = points.last().copied() {
-                points.push((at.max(0.0), before));
+            if let Some((_, previous)) = points.last().copied() {
+                points.push((at.max(0.0), previous));
             }
             points.push((at.max(0.0), *revision as f64));
         }
         if let Some((_, last)) = points.last().copied() {
-            points.push((until, last));
+            points.push((end_s, last));
         }
         chart.draw_series(LineSeries::new(points, Palette99::pick(n).mix(0.6)))?;
     }
--- a/testbed/src/process.rs
+++ b/testbed/src/process.rs
@@ -1,15 +1,16 @@
-//! Real processes of the program: started on a port that the system chooses, signalled by id, and ended by id
-//! when their fleet ends, on panic too.
+//! Real processes of the program: started on a port that the system chooses, signalled by id, and killed by id
+//! when their fleet ends, also on panic.
 //!
-//! Three guards stand between a run or a test and a stray process:
-//! - each child's `Drop` sends SIGKILL and reaps it, which runs on panic as the owner unwinds;
-//! - a watchdog SIGKILLs every child still listed when the fleet's deadline passes, so a child or a test that
-//!   hangs is bounded, and a test then fails on `Fleet::check_deadline`;
-//! - where `setpriv` exists, each child is started with a parent-death signal (SIGKILL), so a process that is
-//!   itself killed mid-way takes its children with it. The signal follows the thread that started the child,
-//!   which must live as long as the child is to.
+//! Three guards prevent a run or a test from leaving processes behind:
+//! - each child's `Drop` sends SIGKILL and reaps it, also on panic, when the owner unwinds;
+//! - a watchdog SIGKILLs every child that is not yet reaped when the fleet's deadline passes, so that a child or a
+//!   test that hangs is bounded, and a test then fails on `Fleet::check_deadline`;
+//! - if `setpriv` exists, each child is started with a parent-death signal (SIGKILL), so that its children end if
+//!   this process is killed. The signal is sent when the thread that started the child ends, so that this thread
+//!   must live as long as the child.
 //!
-//! A pid stays listed until its child has been reaped, so the watchdog never signals a reused pid.
+//! A pid stays in the list of children until its child has been reaped, so that the watchdog never signals a reused
+//! pid.
 
 use nix::sys::signal::{self, Signal};
 use nix::unistd::Pid;
@@ -23,66 +24,66 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Most processes that one fleet may start over its life, unless it is made for more: a bound on what a faulty
-/// test can leave behind.
-pub const MOST_PROCESSES: usize = 2_048;
-/// Most lines of one process's log kept for whoever asks; later ones are dropped.
-pub const MOST_LINES: usize = 10_000;
-/// Most lines of its log that are printed when a test fails.
+/// Maximum number of processes that a fleet starts, unless set otherwise: bounds what a faulty test can leave
+/// behind.
+pub const MAX_PROCESSES: usize = 2_048;
+/// Maximum number of unread lines of a process's log; further ones are dropped.
+pub const MAX_LOG_LINES: usize = 10_000;
+/// Maximum number of log lines of a process that are printed when a test fails.
 const MAX_PRINTED_LINES: usize = 40;
-/// How long a process has to say where it listens.
-const START_WITHIN: Duration = Duration::from_secs(10);
+/// Timeout for a process to report its listening address.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 static FILES: AtomicUsize = AtomicUsize::new(0);
 
-/// The pids not yet reaped, and whether the deadline has struck.
+/// The pids of children not yet reaped, and whether the deadline has passed.
 #[derive(Default)]
-struct Listed {
+struct Children {
     pids: Mutex<Vec<u32>>,
-    struck: AtomicBool,
+    deadline_passed: AtomicBool,
 }
 
-/// The owner of every process of one test or run, with its deadline.
+/// The owner of all processes of one test or run, with a deadline.
 pub struct Fleet {
-    listed: Arc<Listed>,
+    children: Arc<Children>,
     program: PathBuf,
     started: usize,
-    most: usize,
-    /// Dropped with the fleet: tells the watchdog to stand down.
-    _watch: mpsc::Sender<()>,
-    /// Where configuration files go.
+    max_processes: usize,
+    /// Dropped with the fleet, which stops the watchdog.
+    _watchdog_stop: mpsc::Sender<()>,
+    /// The directory for configuration files.
     dir: PathBuf,
-    /// What the environment of processes started from now on holds besides.
+    /// Additional environment variables of processes started from now on.
     environment: Vec<(String, String)>,
 }
 
 /// Why a process could not be started.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The fleet has started as many as it may already.
-    #[error("as many processes as may be have been started")]
+    /// The fleet has already started its maximum number of processes.
+    #[error("the fleet has already started its maximum number of processes")]
     TooMany,
     /// The program could not be run.
     #[error("cannot be run: {0}")]
     Spawn(std::io::Error),
-    /// It ended, or said something else, before saying where it listens.
+    /// It ended, or printed an error, before it reported its listening address.
     #[error("did not start: {0}")]
-    Said(String),
-    /// It said nothing within `START_WITHIN`; it has been killed.
-    #[error("said nothing within 10 s of its start")]
-    Hung,
+    Failed(String),
+    /// It did not report its listening address within `START_TIMEOUT`; it has been killed.
+    #[error("did not report its listening address within 10 s of its start")]
+    TimedOut,
 }
 
 impl Fleet {
-    /// A fleet of `program`'s processes, all SIGKILLed at `deadline` from now at the latest; their configuration
-    /// files go into `dir`.
+    /// Creates a fleet of processes of `program`, which are SIGKILLed after `deadline` at the latest. Their
+    /// configuration files are written to `dir`.
     pub fn new(program: &Path, dir: &Path, deadline: Duration) -> Self {
-        let listed = Arc::new(Listed::default());
-        let (watch, stand_down) = mpsc::channel::<()>();
-        let watched = listed.clone();
+        let children = Arc::new(Children::default());
+        let (watchdog_stop, stopped) = mpsc::channel::<()>();
+        let watched = children.clone();
         std::thread::spawn(move || {
-            if let Err(RecvTimeoutError::Timeout) = stand_down.recv_timeout(deadline) {
-                watched.struck.store(true, Ordering::SeqCst);
+            if let Err(RecvTimeoutError::Timeout) = stopped.recv_timeout(deadline) {
+                watched.deadline_passed.store(true, Ordering::SeqCst);
                 for pid in watched.pids.lock().unwrap_or_else(std::sync::PoisonError::into_inner).iter() {
                     let _ = signal::kill(Pid::from_raw(*pid as i32), Signal::SIGKILL);
                 }
@@ -90,55 +91,65 @@
         });
         let (program, dir) = (program.to_path_buf(), dir.to_path_buf());
         let environment = Vec::new();
-        Self { listed, program, started: 0, most: MOST_PROCESSES, _watch: watch, dir, environment }
+        Self {
+            children,
+            program,
+            started: 0,
+            max_processes: MAX_PROCESSES,
+            _watchdog_stop: watchdog_stop,
+            dir,
+            environment,
+        }
     }
 
-    /// Puts these variables, and no others that were set here before, into the environment of each process that is
-    /// started from now on.
+    /// Sets the additional environment variables of processes started from now on; those set here before are removed.
     pub fn set_environment(&mut self, environment: Vec<(String, String)>) {
         self.environment = environment;
     }
 
-    /// The same, for up to `most` processes over its life.
-    pub fn for_many(mut self, most: usize) -> Self {
-        self.most = most;
+    /// Sets the maximum number of processes that the fleet starts.
+    pub fn with_max_processes(mut self, max_processes: usize) -> Self {
+        self.max_processes = max_processes;
         self
     }
 
-    /// Whether the deadline struck and every process still listed then was killed.
-    pub fn struck(&self) -> bool {
-        self.listed.struck.load(Ordering::SeqCst)
+    /// Whether the deadline has passed and the processes that still ran have been killed.
+    pub fn deadline_passed(&self) -> bool {
+        self.children.deadline_passed.load(Ordering::SeqCst)
     }
 
-    /// Checks that the deadline has not passed: whatever a test saw after it is not to be trusted.
+    /// Checks that the deadline has not passed: what a test observes after it is not valid.
     ///
     /// # Panics
     /// If it has passed.
     pub fn check_deadline(&self) {
-        assert!(!self.listed.struck.load(Ordering::SeqCst), "the fleet's deadline passed; all were killed");
+        assert!(
+            !self.children.deadline_passed.load(Ordering::SeqCst),
+            "the fleet's deadline passed; all processes were killed"
+        );
     }
 
-    /// Starts the proxy binary with this JSON configuration, listening on a port that the system chooses,
-    /// and with discovery at `discovery`. Returns once it has said where it listens.
+    /// Starts a proxy with this JSON configuration, listening on a port that the system chooses, with discovery at
+    /// `discovery`. Returns once it has reported its listening address.
     ///
     /// # Errors
-    /// Where the process does not start or does not say that it listens.
+    /// If the process does not start or does not report its listening address.
     pub fn proxy(&mut self, config: &str, discovery: SocketAddr) -> Result<Process, StartError> {
         self.proxy_of(config, &[discovery])
     }
 
-    /// The same, with discovery at several addresses, tried in turn.
+    /// Starts a proxy in the same way, with discovery at several addresses, which it tries in turn.
     ///
     /// # Errors
-    /// Where the process does not start or does not say that it listens.
+    /// If the process does not start or does not report its listening address.
     pub fn proxy_of(&mut self, config: &str, discovery: &[SocketAddr]) -> Result<Process, StartError> {
         self.proxy_at(config, discovery, SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    /// The same, listening at `listen`, as a proxy that is restarted with its address.
+    /// Starts a proxy in the same way, listening at `listen`, such as a proxy that restarts at its address.
     ///
     /// # Errors
-    /// Where the process does not start or does not say that it listens.
+    /// If the process does not start or does not report its listening address.
     pub fn proxy_at(
         &mut self,
         config: &str,
@@ -146,11 +157,11 @@
         listen: SocketAddr,
     ) -> Result<Process, StartError> {
         let path = self.file("json", config)?;
-        let named: Vec<String> = discovery.iter().map(ToString::to_string).collect();
+        let addresses: Vec<String> = discovery.iter().map(ToString::to_string).collect();
         let env = [
             ("RELAY_CONFIG", path.display().to_string()),
             ("RELAY_LISTEN", listen.to_string()),
-            ("RELAY_DISCOVERY", named.join(",")),
+            ("RELAY_DISCOVERY", addresses.join(",")),
         ];
         self.start(&[], &env, "linkhatch-proxy: listening on ", path)
     }
@@ -158,25 +169,25 @@
     /// Starts a list-service node with this TOML configuration (its `listen` should name port 0).
     ///
     /// # Errors
-    /// Where the process does not start or does not say that it listens.
+    /// If the process does not start or does not report its listening address.
     pub fn registry(&mut self, config: &str) -> Result<Process, StartError> {
         let path = self.file("toml", config)?;
         let args = ["registry".to_string(), "--config".into(), path.display().to_string()];
         self.start(&args, &[], "linkhatch-proxy: registry listening on ", path)
     }
 
-    /// Starts a lease holder with this TOML configuration. Returns once it runs; its `address` is then the
-    /// target of its duty.
+    /// Starts a lease holder with this TOML configuration. Returns once it runs; its `address` is the target of its
+    /// duty.
     ///
     /// # Errors
-    /// Where the process does not start or does not say that it listens.
+    /// If the process does not start or does not report its listening address.
     pub fn holder(&mut self, config: &str) -> Result<Process, StartError> {
         let path = self.file("toml", config)?;
         let args = ["hold".to_string(), "--config".into(), path.display().to_string()];
         self.start(&args, &[], "linkhatch-proxy: holder acting on ", path)
     }
 
-    /// A name for a directory of this test's own, not yet made; whoever uses it removes it.
+    /// The path of a directory for this test, not yet created; the caller removes it.
     pub fn scratch(&self, name: &str) -> PathBuf {
         self.dir.join(format!("{name}-{}-{}", std::process::id(), FILES.fetch_add(1, Ordering::SeqCst)))
     }
@@ -195,7 +206,7 @@
         listening: &str,
         path: PathBuf,
     ) -> Result<Process, StartError> {
-        if self.started >= self.most {
+        if self.started >= self.max_processes {
             return Err(StartError::TooMany);
         }
         self.started += 1;
@@ -215,39 +226,41 @@
         }
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn().map_err(StartError::Spawn)?;
-        self.listed.pids.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push(child.id());
+        self.children.pids.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push(child.id());
         let stderr = child.stderr.take().expect("stderr is piped");
-        let (lines, said) = mpsc::sync_channel(MOST_LINES);
-        // Its log is read to the end, lest it block; the first line says where it listens.
+        let (lines, log) = mpsc::sync_channel(MAX_LOG_LINES);
+        // The log is read to its end, so that the process does not block on a full pipe.
         let reader = std::thread::Builder::new().stack_size(64 << 10).spawn(move || {
             for line in BufReader::new(stderr).lines() {
                 let Ok(line) = line else { break };
-                // Nobody listens any more, or not for now: read on into nothing.
+                // If the channel is full or closed, the line is dropped and reading continues.
                 let _ = lines.try_send(line);
             }
         });
         reader.map_err(StartError::Spawn)?;
         let mut process =
-            Process { child: Some(child), listed: self.listed.clone(), address: None, log: said, path };
-        let deadline = Instant::now() + START_WITHIN;
+            Process { child: Some(child), children: self.children.clone(), address: None, log, path };
+        let deadline = Instant::now() + START_TIMEOUT;
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            match process.log.recv_timeout(left) {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match process.log.recv_timeout(remaining) {
                 Ok(line) => {
                     if let Some(address) = line.strip_prefix(listening) {
-                        let address = address.trim().parse().map_err(|_| StartError::Said(line.clone()))?;
+                        let address = address.trim().parse().map_err(|_| StartError::Failed(line.clone()))?;
                         process.address = Some(address);
                         return Ok(process);
                     }
-                    // Its own words before that are an error; structured log lines are passed over.
+                    // Any other message of the program is an error; structured log lines are skipped.
                     if line.starts_with("linkhatch-proxy: ")
                         && !line.starts_with("linkhatch-proxy: RELAY_CONFIG")
                     {
-                        return Err(StartError::Said(line));
+                        return Err(StartError::Failed(line));
                     }
                 }
-                Err(RecvTimeoutError::Timeout) => return Err(StartError::Hung),
-                Err(RecvTimeoutError::Disconnected) => return Err(StartError::Said("(ended)".into())),
+                Err(RecvTimeoutError::Timeout) => return Err(StartError::TimedOut),
+                Err(RecvTimeoutError::Disconnected) => {
+                    return Err(StartError::Failed("the process ended".into()));
+                }
             }
         }
     }
@@ -255,25 +268,25 @@
 
 const SETPRIV: &str = "/usr/bin/setpriv";
 
-/// One started process. Dropping it SIGKILLs and reaps it.
+/// A started process. Dropping it SIGKILLs and reaps it.
 pub struct Process {
     child: Option<Child>,
-    listed: Arc<Listed>,
+    children: Arc<Children>,
     address: Option<SocketAddr>,
     log: mpsc::Receiver<String>,
     path: PathBuf,
 }
 
 impl Process {
-    /// Where it listens.
+    /// The address on which it listens.
     ///
     /// # Panics
     /// If the process was never started.
     pub fn address(&self) -> SocketAddr {
-        self.address.expect("a started process has said where it listens")
+        self.address.expect("a started process has reported its listening address")
     }
 
-    /// The configuration file that it was started with.
+    /// The path of the configuration file that it was started with.
     pub fn config_path(&self) -> &Path {
         &self.path
     }
@@ -283,20 +296,20 @@
         self.child.as_ref().map(Child::id)
     }
 
-    /// Sends a signal, if it has not been reaped. SIGSTOP, SIGCONT, SIGTERM and SIGKILL are the faults used.
+    /// Sends a signal, if the process has not been reaped. SIGSTOP, SIGCONT, SIGTERM and SIGKILL are used as faults.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
             let _ = signal::kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
 
-    /// Waits up to `within` for it to end by itself; `Some(success)` if it did.
+    /// Waits up to `within` for the process to exit; `Some(success)` if it did.
     pub fn wait_exit(&mut self, within: Duration) -> Option<bool> {
         let deadline = Instant::now() + within;
         while Instant::now() < deadline {
             let child = self.child.as_mut()?;
-            // Reaped under the list's lock, so that the watchdog never signals a pid that is free again.
-            let mut pids = self.listed.pids.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+            // Reaped under the lock of the list, so that the watchdog never signals a reused pid.
+            let mut pids = self.children.pids.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
             if let Ok(Some(status)) = child.try_wait() {
                 pids.retain(|p| *p != child.id());
                 self.child = None;
@@ -308,23 +321,23 @@
         None
     }
 
-    /// Lines of its log that came since the last call.
+    /// The lines of its log since the last call.
     pub fn log_lines(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
-    /// Prints the last lines of its log that nobody has asked for: a test that fails is traced by them.
+    /// Prints the last unread lines of its log, to diagnose a test that fails.
     fn print_log_end(&self) {
         let lines = self.log_lines();
         let skipped = lines.len().saturating_sub(MAX_PRINTED_LINES);
-        eprintln!("log of process {:?} at {:?}, without {skipped} lines before:", self.id(), self.address);
+        eprintln!("log of process {:?} at {:?}, without {skipped} earlier lines:", self.id(), self.address);
         lines[skipped..].iter().for_each(|line| eprintln!("  {line}"));
     }
 
-    /// SIGKILLs and reaps it now.
+    /// SIGKILLs and reaps the process.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            let mut pids = self.listed.pids.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+            let mut pids = self.children.pids.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
             let _ = child.kill();
             let _ = child.wait();
             pids.retain(|p| *p != child.id());
--- a/testbed/src/run/faults.rs
+++ b/testbed/src/run/faults.rs
@@ -275,7 +275,7 @@
     fn noisy_neighbour(&mut self, slot: usize, part: f64, ends_at: f64, active: bool, now: f64) {
         let remaining = if active && now < ends_at { 1.0 - part } else { 1.0 };
         self.backends.with(slot, move |backend, _| {
-            backend.change(|model| model.neighbour_leaves(remaining));
+            backend.change(|model| model.set_available_share(remaining));
         });
         if now < ends_at {
             let next = (now + REPEAT_PERIOD_S).min(ends_at);
--- a/testbed/src/run/fleet.rs
+++ b/testbed/src/run/fleet.rs
@@ -10,7 +10,7 @@
 use crate::calls::call;
 use crate::client::Direct;
 use crate::cluster::Cluster;
-use crate::groups::{Group, Who};
+use crate::groups::{Group, MemberKind};
 use crate::links::Relay;
 use crate::model::Kind;
 use crate::process::{Fleet, Process, StartError};
@@ -274,23 +274,23 @@
     pub fn targets(&self, group: &Group, seed: u64) -> Vec<Target> {
         let (count, reserve) = (self.experiment.proxies.count, self.experiment.proxies.reserve);
         let choose = |candidates| group.choose(candidates, seed).into_iter();
-        match group.who {
-            Who::Proxies => choose(self.proxies_in(group, 0..count)).map(Target::Proxy).collect(),
-            Who::Reserve => {
+        match group.members {
+            MemberKind::Proxies => choose(self.proxies_in(group, 0..count)).map(Target::Proxy).collect(),
+            MemberKind::Reserve => {
                 choose(self.proxies_in(group, count..count + reserve)).map(Target::Proxy).collect()
             }
-            Who::Backends => choose(self.backends_in(group)).map(Target::Backend).collect(),
-            Who::List if group.leader => vec![Target::Node(self.lists[0].leader())],
-            Who::List => choose((0..self.lists[0].size()).collect()).map(Target::Node).collect(),
-            Who::Machines => {
+            MemberKind::Backends => choose(self.backends_in(group)).map(Target::Backend).collect(),
+            MemberKind::List if group.leader => vec![Target::Node(self.lists[0].leader())],
+            MemberKind::List => choose((0..self.lists[0].size()).collect()).map(Target::Node).collect(),
+            MemberKind::Machines => {
                 let candidates = self.proxies_in(group, 0..count.min(self.slots.len()));
                 choose(candidates).flat_map(|n| [Target::Proxy(n), Target::Backend(n)]).collect()
             }
-            Who::All => {
+            MemberKind::All => {
                 let proxies = self.proxies_in(group, 0..count).into_iter().map(Target::Proxy);
                 proxies.chain(self.backends_in(group).into_iter().map(Target::Backend)).collect()
             }
-            Who::Clients => vec![Target::Clients],
+            MemberKind::Clients => vec![Target::Clients],
         }
     }
 
--- a/testbed/src/run/mod.rs
+++ b/testbed/src/run/mod.rs
@@ -151,7 +151,7 @@
     let record = Record::new(started_at + setup, proxy_count);
     let lifetime = Duration::from_secs_f64(experiment.seconds) + setup + READY_TIMEOUT + CLEANUP_TIMEOUT;
     let fleet = Fleet::new(&options.program, scratch.path(), lifetime)
-        .for_many(process_count(experiment, proxy_count));
+        .with_max_processes(process_count(experiment, proxy_count));
     let (mut run, heartbeats) = start_fleet(experiment, options, record.clone(), fleet, slots, rng)?;
     let listed = run.writes.wait_until_written();
     heartbeats.start(&run);
--- a/tests/fleet/durable.rs
+++ b/tests/fleet/durable.rs
@@ -97,7 +97,7 @@
     bytes[middle] ^= 0x20;
     std::fs::write(&log, &bytes).expect("the log is written");
     match fleet.registry(&config(&dir)) {
-        Err(StartError::Said(line)) => {
+        Err(StartError::Failed(line)) => {
             assert!(line.contains("raft.log") && line.contains("at byte"), "{line}");
         }
         Err(other) => panic!("the error is not clear: {other:?}"),
--- a/tests/fleet/hard.rs
+++ b/tests/fleet/hard.rs
@@ -71,7 +71,7 @@
     // A stopped process can neither answer nor exit by itself; only the watchdog ends it.
     proxy.signal(Signal::SIGSTOP);
     assert_eq!(proxy.wait_exit(Duration::from_secs(10)), Some(false), "killed at the deadline");
-    assert!(fleet.struck(), "the fleet reports that its deadline has passed");
+    assert!(fleet.deadline_passed(), "the fleet reports that its deadline has passed");
     let caught = std::panic::catch_unwind(|| fleet.check_deadline());
     assert!(caught.is_err(), "a test that continues past its deadline fails");
 }
--- a/tests/fleet/replicated.rs
+++ b/tests/fleet/replicated.rs
@@ -244,7 +244,7 @@
     }
     std::fs::write(&log, &full_log[..record_ends[record_ends.len() - 4]]).expect("the log is cut");
     let assert_start_error = |result: Result<(), StartError>, words: &[&str]| match result {
-        Err(StartError::Said(line)) => {
+        Err(StartError::Failed(line)) => {
             assert!(words.iter().all(|w| line.contains(w)), "{line}");
         }
         other => panic!("no clear start error: {other:?}"),
