--- a/testbed/src/client/mod.rs
+++ b/testbed/src/client/mod.rs
@@ -70,13 +70,13 @@
 
     async fn request(self: Rc<Self>, number: u64, arrival: Arrival) {
         let mut broken = Vec::new();
-        let (outcome, tries) = match &self.direct {
+        let (outcome, attempts) = match &self.direct {
             Some(direct) => self.send_directly(direct, number, &arrival).await,
             None => self.send_through_proxies(number, &arrival, &mut broken).await,
         };
         let latency = self.record.now() - arrival.at;
         let Arrival { at, class, .. } = arrival;
-        self.record.end(End { at, class, outcome, latency, tries }, &broken);
+        self.record.end(End { at, class, outcome, latency, attempts }, &broken);
     }
 
     /// The request's text, by its id.
@@ -166,7 +166,7 @@
             AttemptEnd::Answered { .. } => Outcome::Failed,
             // The front may not have noticed yet that a proxy has gone: no answer is owed.
             AttemptEnd::ConnectFailed => Outcome::Died,
-            AttemptEnd::Broken if self.record.was_dead(proxy, span) => Outcome::Died,
+            AttemptEnd::Broken if self.record.was_unreachable(proxy, span) => Outcome::Died,
             AttemptEnd::Broken => Outcome::Failed,
         }
     }
--- a/testbed/src/plots.rs
+++ b/testbed/src/plots.rs
@@ -1,7 +1,7 @@
 //! The plots of a run, as SVG files: requests over time with the faults marked, latency percentiles, the load of each
 //! backend over time as a heat map, and the list revision of each proxy over time.
 
-use crate::record::{BIN, End, Outcome, Record};
+use crate::record::{BIN_S, End, Outcome, Record};
 use crate::report::Report;
 use crate::stage::Machine;
 use hdrhistogram::Histogram;
@@ -97,8 +97,8 @@
 }
 
 fn loads(path: &Path, machines: &[Machine], end_s: f64) -> DrawResult {
-    let step = (0.5 / BIN) as usize;
-    let columns = (end_s / BIN) as usize / step;
+    let step = (0.5 / BIN_S) as usize;
+    let columns = (end_s / BIN_S) as usize / step;
     let rows: Vec<Vec<f64>> = machines
         .iter()
         .filter(|m| m.tier == 0)
@@ -140,7 +140,7 @@
 }
 
 fn revisions(path: &Path, record: &Record, proxies: usize, end_s: f64) -> DrawResult {
-    let revisions = record.told_all();
+    let revisions = record.revisions();
     let all = revisions.iter().take(proxies.min(MAX_LINES));
     let (mut low, mut high) = (f64::INFINITY, 1.0f64);
     for (revision, _) in all.clone().flatten() {
--- a/testbed/src/proxy_pool.rs
+++ b/testbed/src/proxy_pool.rs
@@ -1,5 +1,5 @@
-//! A client's connections to one proxy, and the faults of the link between them. Emulated clients use it, and backends
-//! that call a next tier through their own proxy.
+//! A client's connections to one proxy, and the faults of the link between them. It is used by emulated clients, and by
+//! backends that call a next tier through their own proxy.
 
 use crate::http::{Conn, Message, ReadError};
 use crate::record::Record;
@@ -11,12 +11,12 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The most idle connections that are pooled for one proxy.
+/// Maximum number of idle connections in the pool of one proxy.
 const MAX_IDLE: usize = 64;
-/// Bounds of an attempt's timeout, in seconds.
-const TIMEOUT_RANGE: std::ops::RangeInclusive<f64> = 0.001..=3_600.0;
+/// Bounds of the timeout of an attempt, in seconds.
+const TIMEOUT_RANGE_S: std::ops::RangeInclusive<f64> = 0.001..=3_600.0;
 
-/// How an attempt of a client ended.
+/// How a client's attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptEnd {
     /// The proxy answered.
@@ -25,12 +25,12 @@
         status: u16,
         /// The value of `Retry-After` in seconds, or 0.
         retry_after: f64,
-        /// Whether the body is the answer to this request.
+        /// Whether the body is the answer to this request, not to another.
         is_own: bool,
     },
     /// No connection could be opened.
     ConnectFailed,
-    /// The connection broke before an answer, or none came in time.
+    /// The connection broke before an answer, or the attempt timed out.
     Broken,
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl ProxyPool {
-    /// A pool for the proxy at `address`; none: it does not run yet.
+    /// A pool for the proxy at `address`; `None` if the proxy does not run yet.
     pub fn new(proxy: usize, address: Option<SocketAddr>, record: Arc<Record>) -> Rc<Self> {
         Rc::new(Self {
             proxy,
@@ -98,14 +98,14 @@
 
     async fn connect(&self) -> Option<Conn> {
         let stream = TcpStream::connect(self.address.get()?).await.ok()?;
-        let _ = stream.set_nodelay(true); // small writes are only delayed without it
+        let _ = stream.set_nodelay(true); // otherwise small writes are delayed
         self.opened.set(self.opened.get() + 1);
         Some(Conn::new(stream))
     }
 
-    /// Makes one attempt of at most `timeout` seconds; `text` writes the request for its id.
+    /// Makes one attempt of at most `timeout` seconds; `text` returns the bytes of the request with the given id.
     pub async fn attempt(&self, text: impl Fn(u64) -> Vec<u8>, timeout: f64) -> AttemptEnd {
-        let timeout = timeout.clamp(*TIMEOUT_RANGE.start(), *TIMEOUT_RANGE.end());
+        let timeout = timeout.clamp(*TIMEOUT_RANGE_S.start(), *TIMEOUT_RANGE_S.end());
         let timeout = Duration::from_secs_f64(timeout);
         tokio::time::timeout(timeout, self.exchange(text)).await.unwrap_or(AttemptEnd::Broken)
     }
@@ -138,7 +138,7 @@
                     wait(delay).await;
                     return self.answered(id, &answer, connection);
                 }
-                // The proxy's close crossed the request: it is sent once more, on a new connection.
+                // The proxy closed the idle connection while the request was sent: it is sent again, on a new connection.
                 Err(ReadError::Closed) if is_reused => {}
                 Err(_) => return AttemptEnd::Broken,
             }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Makes a backend's call of its next tier, on behalf of the request that it serves; whether it was served.
+    /// Calls the next tier for the request that a backend serves; returns whether the call was served.
     pub async fn call_next_tier(
         &self,
         request: &Message,
@@ -195,7 +195,7 @@
     }
 }
 
-/// A request in the protocol's form, but for its id and the time left.
+/// A request of the protocol, without its id and the time left.
 pub struct RequestText<'a> {
     /// The method.
     pub method: &'a str,
@@ -205,7 +205,7 @@
     pub class: &'a str,
     /// The name of its tenant.
     pub tenant: &'a str,
-    /// Further headers, each line ended.
+    /// Further header lines, each ended by `\r\n`.
     pub more_headers: &'a str,
     /// The body.
     pub body: &'a [u8],
--- a/testbed/src/report.rs
+++ b/testbed/src/report.rs
@@ -1,6 +1,6 @@
-//! What a run shows: figures by window and whole, as JSON and as text.
+//! The report of a run: figures of the whole run and by window, as JSON and as text.
 
-use crate::record::{BIN, End, Outcome, Record};
+use crate::record::{BIN_S, End, Outcome, Record};
 use crate::spec::{Class, Experiment, Window};
 use crate::stage::Machine;
 use hdrhistogram::Histogram;
@@ -9,149 +9,150 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// How late the lab may be (its p99, in milliseconds) for a run to be trusted.
-pub const MOST_LATENESS_MS: f64 = 20.0;
+/// Maximum lateness of the testbed (p99, in milliseconds) at which a run is trusted.
+pub const MAX_LATENESS_MS: f64 = 20.0;
 
-/// Counts of requests by how they ended.
+/// The number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Requests {
-    /// All that were to be sent.
+    /// All requests that were due.
     pub offered: u64,
-    /// 200, in whatever time.
+    /// Status 200, at any latency.
     pub served: u64,
-    /// 429 or 503.
+    /// Status 429 or 503.
     pub refused: u64,
-    /// Another answer, or out of time.
+    /// Another answer, or a timeout.
     pub failed: u64,
-    /// With a proxy that was killed, stopped or cut off.
+    /// The proxy was killed, stopped or cut off.
     pub died: u64,
-    /// Their client left early.
+    /// The client left early.
     pub left: u64,
-    /// No end from a live proxy.
+    /// A reachable proxy did not answer.
     pub lost: u64,
 }
 
-/// Worth asked for and served in time.
+/// The priority weight of requests, offered and served in time.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Worth {
-    /// Of all requests.
+    /// The sum over all requests.
     pub offered: f64,
-    /// Of those served within their class's time.
+    /// The sum over requests served within the latency objective of their class.
     pub served: f64,
-    /// The one over the other.
+    /// `served` divided by `offered`.
     pub share: f64,
 }
 
-/// Latency of what was served, in milliseconds, from when it was to be sent.
+/// The latency of served requests, in milliseconds from their due time.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Latency {
     /// The median.
     pub p50: f64,
-    /// 99 in 100 are below.
+    /// The 99th percentile.
     pub p99: f64,
-    /// 999 in 1,000 are below.
+    /// The 99.9th percentile.
     pub p999: f64,
 }
 
-/// How evenly machines listed for the whole window were loaded, in requests relative to weight times speed.
+/// How evenly load was spread over the machines that were listed for the whole window, in requests relative to weight
+/// times speed.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Spread {
-    /// Machines counted.
+    /// The number of machines.
     pub backends: usize,
-    /// Coefficient of variation in windows of 1 s, their mean.
+    /// The mean coefficient of variation in windows of 1 s.
     pub cv: f64,
-    /// What independent draws by weight and speed would have there: the scatter of counts alone.
+    /// The coefficient of variation that independent random draws by weight and speed would have in these windows.
     pub cv_random: f64,
-    /// Over the whole window.
+    /// The coefficient of variation over the whole window.
     pub cv_whole: f64,
-    /// The busiest over the mean, over the whole window.
+    /// The load of the busiest machine divided by the mean, over the whole window.
     pub peak_over_mean: f64,
-    /// The part of machines that were sent nothing in the whole window.
+    /// The fraction of machines that received nothing in the whole window.
     pub idle_share: f64,
-    /// The same at worst over any 5 s in which 8 or more requests would be the machine's share.
+    /// The highest such fraction in any 5 s, of machines whose share is 8 requests or more.
     pub idle_5s: f64,
-    /// The busiest over the mean in the worst tenth of a second with 20 requests or more a machine.
+    /// The highest load of a machine divided by the mean in any 100 ms with 20 requests or more per machine.
     pub worst_100ms_peak_over_mean: f64,
-    /// The most that any machine got in 200 ms against its share, where that should be 20 or more.
+    /// The highest load of a machine in any 200 ms divided by its share, if the share is 20 requests or more.
     pub worst_200ms_over_share: f64,
 }
 
-/// One window's figures.
+/// The figures of one window.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// From when to when, in seconds.
+    /// The start and end of the window, in seconds.
     pub span: [f64; 2],
-    /// Requests by their end.
+    /// Requests by outcome.
     pub requests: Requests,
-    /// Worth.
+    /// Priority weight, offered and served.
     pub worth: Worth,
-    /// Latency of what was served.
+    /// The latency of served requests.
     pub latency_ms: Latency,
-    /// Evenness over the first tier's machines.
+    /// How evenly load was spread over the machines of the first tier.
     pub spread: Spread,
-    /// Connections that machines were opened, a second.
+    /// Connections that machines accepted, per second.
     pub connections_per_s: f64,
-    /// Of the requests sent to machines, those that are more than one for each request offered.
+    /// Requests sent to machines, per request offered.
     pub sends_per_request: f64,
-    /// Requests that machines turned away are counted in the whole run only.
+    /// Requests that machines rejected; counted over the whole run, also in windows.
     pub turned_away: u64,
 }
 
-/// How far proxies were behind the list.
+/// How late proxies were notified of list revisions.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Revisions {
-    /// Changes whose news was followed, over all proxies.
+    /// The number of notifications measured, over all proxies.
     pub counted: usize,
-    /// The longest from the list service's word to a proxy's being told, in milliseconds.
+    /// The longest time from the list service's acknowledgement to the notification of a proxy, in milliseconds.
     pub max_lag_ms: f64,
-    /// 99 in 100 are below.
+    /// The 99th percentile of this time, in milliseconds.
     pub p99_lag_ms: f64,
-    /// Proxies that were never told of a change, by change and proxy.
+    /// The number of notifications that never arrived, by change and proxy.
     pub never: usize,
 }
 
-/// The lab's own standing.
+/// The state of the testbed itself.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Lab {
-    /// How late the lab sent requests: 99 in 100 were sent within this many milliseconds of their time.
+pub struct TestbedStatus {
+    /// How late requests were sent: the 99th percentile, in milliseconds.
     pub lateness_ms: f64,
-    /// The lab's own processor time over the run's, in cores.
+    /// The testbed's processor time divided by the time of the run, in cores.
     pub cpu_share: f64,
-    /// Seconds from the first process to the last ready.
+    /// Seconds from the start of the first process until all were ready.
     pub startup_s: f64,
-    /// The most memory that the lab itself held, in MB.
+    /// The testbed's peak memory, in MB.
     pub memory_mb: f64,
-    /// Whether its lateness lets the run be trusted.
+    /// Whether the lateness was low enough for the run to be trusted.
     pub trusted: bool,
 }
 
-/// A whole run's report, as `report.json` holds it.
+/// The report of a run, as written to `report.json`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// The experiment.
+    /// The name of the experiment.
     pub name: String,
-    /// The seed of every random choice.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// The program played.
+    /// The path of the program.
     pub program: String,
     /// Whether the run was ended early.
     pub partial: bool,
-    /// Proxies of clients, the reserve among them.
+    /// The number of proxies of clients, including the reserve.
     pub proxies: usize,
-    /// Figures of the whole run after its warm-up.
+    /// Figures of the whole run after the warm-up.
     #[serde(flatten)]
     pub whole: Figures,
     /// Figures by window.
     pub windows: BTreeMap<String, Figures>,
-    /// Lag behind the list.
+    /// How late proxies were notified of list revisions.
     pub revisions: Revisions,
-    /// What must not happen and did, bounds passed among it: the first, in words.
+    /// The texts of the first violations, exceeded bounds included.
     pub violations: Vec<String>,
-    /// How many there were.
+    /// The number of violations.
     pub violations_count: u64,
-    /// The lab's own standing.
-    pub lab: Lab,
-    /// Faults as struck: when, and in words.
+    /// The state of the testbed itself.
+    pub lab: TestbedStatus,
+    /// The faults that were applied: their times in seconds, and their descriptions.
     pub faults: Vec<(f64, String)>,
 }
 
@@ -196,97 +197,101 @@
     (r, w, latency)
 }
 
-/// Requests of one machine in the bins of a span.
-fn sent(machine: &Machine, from: usize, to: usize) -> f64 {
+/// The number of requests that a machine received in a range of bins.
+fn requests_received(machine: &Machine, from: usize, to: usize) -> f64 {
     let bins = &machine.sent.requests;
     bins[from.min(bins.len())..to.min(bins.len())].iter().map(|n| f64::from(*n)).sum()
 }
 
-fn bins(from: f64, to: f64) -> (usize, usize) {
-    ((from / BIN).round() as usize, (to / BIN).round() as usize)
+/// The range of bins of a span in seconds.
+fn bin_range(from: f64, to: f64) -> (usize, usize) {
+    ((from / BIN_S).round() as usize, (to / BIN_S).round() as usize)
 }
 
-/// Loads of the machines in a span relative to their shares, and the requests that a share of 1 is.
-fn loads(machines: &[&Machine], from: usize, to: usize) -> Option<(Vec<f64>, Vec<f64>)> {
-    let total: f64 = machines.iter().map(|m| sent(m, from, to)).sum();
-    let able: f64 = machines.iter().map(|m| m.weight * m.speed).sum();
-    if total <= 0.0 || able <= 0.0 {
+/// The loads of the machines in a range of bins, relative to their shares, and their shares in requests.
+fn relative_loads(machines: &[&Machine], from: usize, to: usize) -> Option<(Vec<f64>, Vec<f64>)> {
+    let total: f64 = machines.iter().map(|m| requests_received(m, from, to)).sum();
+    let capacity: f64 = machines.iter().map(|m| m.weight * m.speed).sum();
+    if total <= 0.0 || capacity <= 0.0 {
         return None;
     }
-    let expected: Vec<f64> = machines.iter().map(|m| total * m.weight * m.speed / able).collect();
-    let loads = machines.iter().zip(&expected).map(|(m, e)| sent(m, from, to) / e).collect();
+    let expected: Vec<f64> = machines.iter().map(|m| total * m.weight * m.speed / capacity).collect();
+    let loads = machines.iter().zip(&expected).map(|(m, e)| requests_received(m, from, to) / e).collect();
     Some((loads, expected))
 }
 
-fn cv(loads: &[f64]) -> f64 {
+/// The coefficient of variation.
+fn variation(loads: &[f64]) -> f64 {
     let mean = loads.iter().sum::<f64>() / loads.len() as f64;
     let variance = loads.iter().map(|l| (l - mean).powi(2)).sum::<f64>() / loads.len() as f64;
     if mean > 0.0 { variance.sqrt() / mean } else { 0.0 }
 }
 
-fn peak(loads: &[f64]) -> f64 {
+/// The maximum divided by the mean.
+fn peak_over_mean(loads: &[f64]) -> f64 {
     let mean = loads.iter().sum::<f64>() / loads.len() as f64;
     loads.iter().copied().fold(0.0, f64::max) / mean.max(f64::MIN_POSITIVE)
 }
 
-/// Evenness over a span of those machines of the first tier that were listed for all of it.
+/// How evenly load was spread in a span over the machines of the first tier that were listed for all of it.
 pub fn spread(machines: &[Machine], from: f64, to: f64) -> Spread {
     let listed = |from: f64, to: f64| -> Vec<&Machine> {
         machines.iter().filter(|m| m.tier == 0 && m.sent.listed_for(from, to)).collect()
     };
-    let (first, last) = bins(from, to);
+    let (first, last) = bin_range(from, to);
     let whole = listed(from, to);
     let mut spread = Spread { backends: whole.len(), ..Spread::default() };
-    if let Some((loads, _)) = loads(&whole, first, last) {
-        spread.cv_whole = cv(&loads);
-        spread.peak_over_mean = peak(&loads);
+    if let Some((loads, _)) = relative_loads(&whole, first, last) {
+        spread.cv_whole = variation(&loads);
+        spread.peak_over_mean = peak_over_mean(&loads);
         spread.idle_share = loads.iter().filter(|l| **l == 0.0).count() as f64 / loads.len() as f64;
     }
-    let second = (1.0 / BIN) as usize;
-    let (mut seconds, mut scatter) = (Vec::new(), Vec::new());
+    let second = (1.0 / BIN_S) as usize;
+    let (mut seconds, mut random) = (Vec::new(), Vec::new());
     for at in (first..last.saturating_sub(second - 1)).step_by(second) {
-        let here = listed(at as f64 * BIN, (at + second) as f64 * BIN);
-        if let Some((loads, expected)) = loads(&here, at, at + second) {
-            seconds.push(cv(&loads));
-            // A count of mean e scatters by its root: relative to e, its variance is 1 / e.
-            scatter.push((expected.iter().map(|e| 1.0 / e).sum::<f64>() / expected.len() as f64).sqrt());
+        let here = listed(at as f64 * BIN_S, (at + second) as f64 * BIN_S);
+        if let Some((loads, expected)) = relative_loads(&here, at, at + second) {
+            seconds.push(variation(&loads));
+            // A Poisson count of mean e has variance e; relative to e, its variance is 1 / e.
+            random.push((expected.iter().map(|e| 1.0 / e).sum::<f64>() / expected.len() as f64).sqrt());
         }
     }
     let mean = |all: &[f64]| if all.is_empty() { 0.0 } else { all.iter().sum::<f64>() / all.len() as f64 };
-    (spread.cv, spread.cv_random) = (mean(&seconds), mean(&scatter));
+    (spread.cv, spread.cv_random) = (mean(&seconds), mean(&random));
     let spans = |length: usize| (first..(last + 1).saturating_sub(length)).map(move |at| (at, at + length));
     for (a, b) in spans(5 * second) {
-        let here = listed(a as f64 * BIN, b as f64 * BIN);
-        if let Some((loads, expected)) = loads(&here, a, b) {
-            let due: Vec<f64> =
+        let here = listed(a as f64 * BIN_S, b as f64 * BIN_S);
+        if let Some((loads, expected)) = relative_loads(&here, a, b) {
+            let shares_of_8: Vec<f64> =
                 loads.iter().zip(&expected).filter(|(_, e)| **e >= 8.0).map(|(l, _)| *l).collect();
-            let idle = due.iter().filter(|l| **l == 0.0).count() as f64 / due.len().max(1) as f64;
+            let idle =
+                shares_of_8.iter().filter(|l| **l == 0.0).count() as f64 / shares_of_8.len().max(1) as f64;
             spread.idle_5s = spread.idle_5s.max(idle);
         }
     }
     for (a, b) in spans(1) {
-        let here = listed(a as f64 * BIN, b as f64 * BIN);
-        if let Some((loads, expected)) = loads(&here, a, b)
+        let here = listed(a as f64 * BIN_S, b as f64 * BIN_S);
+        if let Some((loads, expected)) = relative_loads(&here, a, b)
             && mean(&expected) >= 20.0
         {
-            spread.worst_100ms_peak_over_mean = spread.worst_100ms_peak_over_mean.max(peak(&loads));
+            spread.worst_100ms_peak_over_mean = spread.worst_100ms_peak_over_mean.max(peak_over_mean(&loads));
         }
     }
     for (a, b) in spans(2) {
-        let here = listed(a as f64 * BIN, b as f64 * BIN);
-        if let Some((loads, expected)) = loads(&here, a, b) {
-            let due = loads.iter().zip(&expected).filter(|(_, e)| **e >= 20.0).map(|(l, _)| *l);
-            spread.worst_200ms_over_share = due.fold(spread.worst_200ms_over_share, f64::max);
+        let here = listed(a as f64 * BIN_S, b as f64 * BIN_S);
+        if let Some((loads, expected)) = relative_loads(&here, a, b) {
+            let shares_of_20 = loads.iter().zip(&expected).filter(|(_, e)| **e >= 20.0).map(|(l, _)| *l);
+            spread.worst_200ms_over_share = shares_of_20.fold(spread.worst_200ms_over_share, f64::max);
         }
     }
     spread
 }
 
-/// The figures of one span.
+/// The figures of one span, in seconds.
 pub fn figures(ends: &[End], machines: &[Machine], classes: &[Class], from: f64, to: f64) -> Figures {
     let here: Vec<&End> = ends.iter().filter(|e| (from..to).contains(&e.at)).collect();
     let (requests, worth, latency_ms) = requests(&here, classes);
-    let (a, b) = bins(from, to);
+    let (a, b) = bin_range(from, to);
     let first: Vec<&Machine> = machines.iter().filter(|m| m.tier == 0).collect();
     let connections: u32 = first
         .iter()
@@ -296,33 +301,34 @@
                 .sum::<u32>()
         })
         .sum();
-    let sends: f64 = first.iter().map(|m| sent(m, a, b)).sum();
+    let sends: f64 = first.iter().map(|m| requests_received(m, a, b)).sum();
     Figures {
         span: [from, to],
         requests,
         worth,
         latency_ms,
         spread: spread(machines, from, to),
-        connections_per_s: f64::from(connections) / (to - from).max(BIN),
+        connections_per_s: f64::from(connections) / (to - from).max(BIN_S),
         sends_per_request: sends / (requests.offered as f64).max(1.0),
         turned_away: first.iter().map(|m| m.sent.turned).sum(),
     }
 }
 
-/// How far each proxy was behind each revision that the lab made, in seconds, leaving out proxies that were dead.
+/// The delay from the acknowledgement of each revision to the notification of each proxy, in seconds and sorted, and
+/// the number of notifications that never arrived. Proxies that were unreachable meanwhile do not count.
 pub fn lags(record: &Record, proxies: usize) -> (Vec<f64>, usize) {
     let (mut lags, mut never) = (Vec::new(), 0);
-    // What was listed before the load is told as each proxy starts.
+    // Revisions from before the load are part of the list that a proxy gets when it starts.
     for (revision, at) in record.acknowledged().into_iter().filter(|(_, at)| *at >= 0.0) {
         for proxy in 0..proxies {
             match record.told(proxy, revision) {
-                // Told before the lab had read the acknowledgement: no lag.
-                Some(told) => {
-                    if !record.was_dead(proxy, [at, told]) {
-                        lags.push((told - at).max(0.0));
+                // A notification that arrives before the acknowledgement was read has no delay.
+                Some(notified_at) => {
+                    if !record.was_unreachable(proxy, [at, notified_at]) {
+                        lags.push((notified_at - at).max(0.0));
                     }
                 }
-                None => never += usize::from(!record.was_dead(proxy, [at, record.now()])),
+                None => never += usize::from(!record.was_unreachable(proxy, [at, record.now()])),
             }
         }
     }
@@ -339,24 +345,28 @@
         walk(&json["windows"], path).or_else(|| walk(&json, path))?.as_f64()
     }
 
-    /// Checks the experiment's bounds on figures; what is passed is a violation.
+    /// Checks the experiment's bounds on figures; a bound that is exceeded is a violation.
     pub fn check_bounds(&mut self, experiment: &Experiment) {
-        let most = experiment.oracle.at_most.iter().map(|(path, bound)| (path, *bound, true));
-        let least = experiment.oracle.at_least.iter().map(|(path, bound)| (path, *bound, false));
-        let passed: Vec<String> = most
-            .chain(least)
-            .filter_map(|(path, bound, most)| match self.figure(path) {
-                None => Some(format!("{path}: there is no such figure")),
-                Some(v) if most && v > bound => Some(format!("{path} is {v:.4}, at most {bound} wanted")),
-                Some(v) if !most && v < bound => Some(format!("{path} is {v:.4}, at least {bound} wanted")),
+        let maxima = experiment.oracle.at_most.iter().map(|(path, bound)| (path, *bound, true));
+        let minima = experiment.oracle.at_least.iter().map(|(path, bound)| (path, *bound, false));
+        let exceeded: Vec<String> = maxima
+            .chain(minima)
+            .filter_map(|(path, bound, is_max)| match self.figure(path) {
+                None => Some(format!("{path}: no such figure")),
+                Some(v) if is_max && v > bound => {
+                    Some(format!("{path} is {v:.4}, above the maximum {bound}"))
+                }
+                Some(v) if !is_max && v < bound => {
+                    Some(format!("{path} is {v:.4}, below the minimum {bound}"))
+                }
                 Some(_) => None,
             })
             .collect();
-        self.violations_count += passed.len() as u64;
-        self.violations.extend(passed);
+        self.violations_count += exceeded.len() as u64;
+        self.violations.extend(exceeded);
     }
 
-    /// The figures in words.
+    /// The report as text.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let partial = if self.partial { " (ended early)" } else { "" };
@@ -368,7 +378,7 @@
             let (r, s, l) = (&f.requests, &f.spread, &f.latency_ms);
             let _ = writeln!(
                 text,
-                "  {name:<10} {:>4.1}-{:.1} s: {} offered, {} served, {} refused, {} failed, {} died, {} left, {} \
+                "  {name:<10} {:>4.1}-{:.1} s: {} offered, {} served, {} rejected, {} failed, {} died, {} left, {} \
                  lost; worth {:.3}; p50 {:.1} p99 {:.1} p999 {:.1} ms",
                 f.span[0],
                 f.span[1],
@@ -386,9 +396,9 @@
             );
             let _ = writeln!(
                 text,
-                "  {:<10} spread over {}: cv {:.3} ({:.3} of independent draws), whole {:.3}; peak {:.2}; idle \
-                 {:.1}% (5 s: {:.1}%); 200 ms at most {:.2} times its share; {:.1} connections/s, {:.3} \
-                 sends a request",
+                "  {:<10} spread over {}: cv {:.3} ({:.3} for random draws), whole {:.3}; peak {:.2}; idle \
+                 {:.1}% (5 s: {:.1}%); in 200 ms at most {:.2} times the share; {:.1} connections/s, {:.3} \
+                 sends per request",
                 "",
                 s.backends,
                 s.cv,
@@ -405,24 +415,24 @@
         let r = &self.revisions;
         let _ = writeln!(
             text,
-            "  list: {} tellings, p99 {:.1} ms, at most {:.1} ms late, {} never",
+            "  list: {} notifications, delay p99 {:.1} ms, max {:.1} ms; {} never arrived",
             r.counted, r.p99_lag_ms, r.max_lag_ms, r.never
         );
-        let trusted = if self.lab.trusted { "" } else { ": NOT TO BE TRUSTED" };
+        let trusted = if self.lab.trusted { "" } else { " (NOT TO BE TRUSTED)" };
         let _ = writeln!(
             text,
-            "  lab: p99 {:.2} ms late{trusted}, {:.2} cores, {:.0} MB; started in {:.1} s",
+            "  testbed: lateness p99 {:.2} ms{trusted}, {:.2} cores, {:.0} MB; started in {:.1} s",
             self.lab.lateness_ms, self.lab.cpu_share, self.lab.memory_mb, self.lab.startup_s
         );
         let _ = writeln!(text, "  violations: {}", self.violations_count);
-        for told in self.violations.iter().take(10) {
-            let _ = writeln!(text, "    {told}");
+        for violation in self.violations.iter().take(10) {
+            let _ = writeln!(text, "    {violation}");
         }
         text
     }
 }
 
-/// Figures by window, the whole run's under `whole`.
+/// The figures of the whole run, and of each window that began before `ended`, by name.
 pub fn by_window(
     ends: &[End],
     machines: &[Machine],
@@ -431,8 +441,8 @@
 ) -> (Figures, BTreeMap<String, Figures>) {
     let classes = &experiment.classes;
     let whole = figures(ends, machines, classes, experiment.warmup, ended);
-    let of = |w: &Window| (w.name.clone(), figures(ends, machines, classes, w.from, w.to.min(ended)));
-    (whole, experiment.windows.iter().filter(|w| w.from < ended).map(of).collect())
+    let window = |w: &Window| (w.name.clone(), figures(ends, machines, classes, w.from, w.to.min(ended)));
+    (whole, experiment.windows.iter().filter(|w| w.from < ended).map(window).collect())
 }
 
 #[cfg(test)]
--- a/testbed/src/report/tests.rs
+++ b/testbed/src/report/tests.rs
@@ -3,28 +3,28 @@
 use super::*;
 use crate::record::Sent;
 
-fn of(counts: &[u32], weight: f64) -> Machine {
+fn machine(counts: &[u32], weight: f64) -> Machine {
     let sent = Sent { requests: counts.to_vec(), listed: vec![[0.0, f64::INFINITY]], ..Sent::default() };
     Machine { id: "b".into(), tier: 0, weight, speed: 1.0, sent }
 }
 
 #[test]
-fn spread_counts_loads_by_weight_and_finds_the_idle_and_the_rushed() {
-    // 10 s of 10 bins each; weights 1 and 2 loaded as they should be are even.
-    let even = [of(&[10; 100], 1.0), of(&[20; 100], 2.0)];
+fn spread_is_relative_to_weight_and_finds_idle_and_overloaded_machines() {
+    // 10 s of 10 bins each; loads in proportion to weights 1 and 2 are even.
+    let even = [machine(&[10; 100], 1.0), machine(&[20; 100], 2.0)];
     let s = spread(&even, 0.0, 10.0);
     assert!(s.cv < 1e-9 && (s.peak_over_mean - 1.0).abs() < 1e-9 && s.idle_5s == 0.0, "{s:?}");
-    // Independent draws of 100 and 200 a second would scatter by a root of the mean of 1/100 and 1/200.
+    // Random draws of 100 and 200 per second vary by the root of the mean of 1/100 and 1/200.
     assert!((s.cv_random - 0.0075f64.sqrt()).abs() < 1e-9, "{s:?}");
-    let mut rushed = vec![0u32; 100];
-    rushed[50..52].fill(200);
-    let s = spread(&[of(&[20; 100], 1.0), of(&rushed, 1.0)], 0.0, 10.0);
+    let mut burst = vec![0u32; 100];
+    burst[50..52].fill(200);
+    let s = spread(&[machine(&[20; 100], 1.0), machine(&burst, 1.0)], 0.0, 10.0);
     assert_eq!((s.backends, s.idle_share), (2, 0.0));
     assert!(s.idle_5s == 0.5 && s.worst_200ms_over_share > 1.5, "{s:?}");
 }
 
 #[test]
-fn bounds_passed_and_unknown_figures_are_violations() {
+fn exceeded_bounds_and_unknown_figures_are_violations() {
     let mut report = Report::default();
     report.windows.insert("after".into(), Figures::default());
     report.whole.spread.cv = 0.5;
--- a/testbed/src/rt.rs
+++ b/testbed/src/rt.rs
@@ -1,5 +1,5 @@
-//! Event loops: threads, each with a runtime and a set of local tasks, that the stand-ins run on. What runs on
-//! one shares state without locks; what comes from outside comes as a job.
+//! Event loops for emulated clients, backends and links: threads with a runtime and a set of local tasks. Tasks of one
+//! loop share state without locks; other threads send it jobs.
 
 use std::future::Future;
 use std::sync::OnceLock;
@@ -18,7 +18,7 @@
     /// Starts a loop.
     ///
     /// # Errors
-    /// Where the thread or its runtime can't be made.
+    /// If the thread or its runtime can't be created.
     pub fn start(name: &str) -> std::io::Result<Self> {
         let (jobs, mut queue) = unbounded_channel::<Job>();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -32,17 +32,17 @@
         Ok(Self { jobs })
     }
 
-    /// The loop that links between tests' processes run on, started when first needed.
+    /// The loop of the links between processes of tests, started on first use.
     ///
     /// # Panics
     /// If its thread cannot be started.
     pub fn shared() -> &'static Self {
         static SHARED: OnceLock<Loop> = OnceLock::new();
-        // Without a thread there is nothing that could go on.
+        // Nothing can run without this thread.
         SHARED.get_or_init(|| Self::start("links").expect("a thread with a runtime"))
     }
 
-    /// Runs a task there.
+    /// Runs a task on the loop.
     pub fn spawn<F>(&self, make: impl FnOnce() -> F + Send + 'static)
     where
         F: Future<Output = ()> + 'static,
@@ -50,15 +50,15 @@
         let _ = self.jobs.send(Box::new(move || drop(tokio::task::spawn_local(make()))));
     }
 
-    /// Runs a task there and waits for what it returns; not to be called on the loop itself. `None` if it
-    /// ended in a panic.
+    /// Runs a task on the loop and blocks until it returns; must not be called on the loop itself. `None` if the task
+    /// panicked.
     pub fn wait<T, F>(&self, make: impl FnOnce() -> F + Send + 'static) -> Option<T>
     where
         T: Send + 'static,
         F: Future<Output = T> + 'static,
     {
-        let (told, result) = std::sync::mpsc::channel();
-        self.spawn(move || async move { drop(told.send(make().await)) });
+        let (sender, result) = std::sync::mpsc::channel();
+        self.spawn(move || async move { drop(sender.send(make().await)) });
         result.recv().ok()
     }
 }
--- a/testbed/src/run/faults.rs
+++ b/testbed/src/run/faults.rs
@@ -3,7 +3,7 @@
 use super::fleet::{Placement, Run, Target};
 use super::timeline::Step;
 use crate::spec::{Fault, What};
-use crate::stage::note_direct;
+use crate::stage::set_direct_address;
 use nix::sys::signal::Signal;
 use serde_json::json;
 use std::time::Duration;
@@ -100,7 +100,7 @@
             if let Target::Proxy(proxy) = target
                 && kind != What::Term
             {
-                self.record.dies(*proxy);
+                self.record.mark_unreachable(*proxy);
             }
             self.signal(*target, signal);
         }
@@ -148,7 +148,7 @@
                 (What::Kill | What::Term, target) => self.start(target, now),
                 (What::Stop, Target::Proxy(proxy)) => {
                     self.signal(target, Signal::SIGCONT);
-                    self.record.lives(proxy);
+                    self.record.mark_reachable(proxy);
                     self.schedule_in_front(now + self.experiment.load.front_notices, proxy, true);
                 }
                 (What::Stop, Target::Node(_)) => self.signal(target, Signal::SIGCONT),
@@ -212,11 +212,11 @@
     fn kill_backend(&mut self, slot: usize) {
         let id = self.slots[slot].id.clone();
         self.slots[slot].address = None;
-        self.backends.gone(&id);
-        note_direct(self.direct.as_ref(), slot, None);
+        self.backends.kill(&id);
+        set_direct_address(self.direct.as_ref(), slot, None);
         self.writes.push(move |writer| writer.stop_heartbeats(&id));
         if let Some(sidecar) = self.sidecar_of(slot) {
-            self.record.dies(sidecar);
+            self.record.mark_unreachable(sidecar);
             self.proxies[sidecar].process = None;
         }
     }
@@ -224,7 +224,7 @@
     fn drain(&mut self, slot: usize) {
         let (tier, id) = (self.slots[slot].tier, self.slots[slot].id.clone());
         let stage = self.backends.clone();
-        note_direct(self.direct.as_ref(), slot, None);
+        set_direct_address(self.direct.as_ref(), slot, None);
         self.writes.push(move |writer| {
             let body = json!({"instanceId": id});
             let Some(revision) = writer.write(tier, "/v1/drain", &body) else { return };
@@ -244,7 +244,7 @@
     }
 
     fn remove_backend(&mut self, tier: usize, id: String) {
-        self.backends.gone(&id);
+        self.backends.kill(&id);
         self.writes.push(move |writer| {
             writer.stop_heartbeats(&id);
             writer.write(tier, "/v1/deregister", &json!({"instanceId": id}));
--- a/testbed/src/run/fleet.rs
+++ b/testbed/src/run/fleet.rs
@@ -16,7 +16,7 @@
 use crate::process::{Fleet, Process, StartError};
 use crate::record::Record;
 use crate::spec::Experiment;
-use crate::stage::{BackendStage, ClientStage, note_direct};
+use crate::stage::{BackendLoop, ClientLoop, set_direct_address};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use serde_json::{Value, json};
@@ -93,8 +93,8 @@
     pub writes: WriteQueue,
     pub proxies: Vec<Proxy>,
     pub slots: Vec<BackendSlot>,
-    pub backends: BackendStage,
-    pub clients: ClientStage,
+    pub backends: BackendLoop,
+    pub clients: ClientLoop,
     /// How clients send requests directly to backends, in experiments that run without proxies for comparison.
     pub direct: Option<Direct>,
     pub timeline: Timeline,
@@ -150,7 +150,7 @@
             seed,
             port: 0,
         };
-        let address = self.backends.put(made, replaces);
+        let address = self.backends.start_backend(made, replaces);
         let address = address
             .ok_or_else(|| RunError::Io(std::io::Error::other("no port is available for a backend")))?;
         slot.address = Some(address);
@@ -162,7 +162,7 @@
             std::thread::sleep(Duration::from_millis(delay_ms));
             writer.register(registration);
             stage.with_id(&id, |backend| backend.listed(true));
-            note_direct(direct.as_ref(), slot_index, Some(address));
+            set_direct_address(direct.as_ref(), slot_index, Some(address));
         });
         Ok(())
     }
@@ -223,9 +223,9 @@
         let address = Some(process.address());
         let proxy = &mut self.proxies[number];
         (proxy.process, proxy.address) = (Some(process), address);
-        self.record.lives(number);
+        self.record.mark_reachable(number);
         match proxy.sidecar_of {
-            Some(slot) => self.backends.through(slot, number, address),
+            Some(slot) => self.backends.set_next_tier_proxy(slot, number, address),
             None => self.clients.with(move |front| front.pools[number].set_address(address)),
         }
         Ok(())
--- a/testbed/src/run/link_faults.rs
+++ b/testbed/src/run/link_faults.rs
@@ -55,8 +55,10 @@
             (Target::Clients, Target::Proxy(proxy)) => {
                 let link = effect.at_clients();
                 match link {
-                    ClientLink::Swallow | ClientLink::Reset => self.record.dies(proxy),
-                    ClientLink::Pass | ClientLink::Delay(_) | ClientLink::Drop(_) => self.record.lives(proxy),
+                    ClientLink::Swallow | ClientLink::Reset => self.record.mark_unreachable(proxy),
+                    ClientLink::Pass | ClientLink::Delay(_) | ClientLink::Drop(_) => {
+                        self.record.mark_reachable(proxy)
+                    }
                 }
                 self.clients.with(move |front| front.pools[proxy].set_link(link));
             }
--- a/testbed/src/run/mod.rs
+++ b/testbed/src/run/mod.rs
@@ -18,10 +18,10 @@
 use crate::plots;
 use crate::process::{Fleet, StartError};
 use crate::record::{End, Record};
-use crate::report::{Lab, MOST_LATENESS_MS, Report, Revisions, by_window, lags};
+use crate::report::{MAX_LATENESS_MS, Report, Revisions, TestbedStatus, by_window, lags};
 use crate::scratch::Scratch;
 use crate::spec::{Dealer, Experiment};
-use crate::stage::{BackendStage, ClientStage, Machine};
+use crate::stage::{BackendLoop, ClientLoop, Machine};
 use crate::usage;
 use fleet::{BackendSlot, Placement, Run, backend_slots};
 use hdrhistogram::Histogram;
@@ -207,7 +207,7 @@
     rng: SmallRng,
 ) -> Result<(Run<'a>, Heartbeats), RunError> {
     let in_flight: Arc<Vec<AtomicUsize>> = Arc::new(slots.iter().map(|_| AtomicUsize::new(0)).collect());
-    let backends = BackendStage::start(record.clone(), experiment, in_flight.clone())?;
+    let backends = BackendLoop::start(record.clone(), experiment, in_flight.clone())?;
     let lists = (0..=experiment.tiers.len())
         .map(|_| Cluster::try_start(&mut fleet, experiment.list.nodes, LIST_CONFIG))
         .collect::<Result<Vec<_>, _>>()
@@ -231,7 +231,7 @@
     });
     let front_count = experiment.proxies.count + experiment.proxies.reserve;
     let front_shares = shares(front_count, experiment.proxies.uneven, options.seed);
-    let clients = ClientStage::start(record.clone(), vec![None; front_count], front_shares)?;
+    let clients = ClientLoop::start(record.clone(), vec![None; front_count], front_shares)?;
     let mut run = Run {
         experiment,
         options,
@@ -345,12 +345,12 @@
             revisions: self.revisions(),
             violations,
             violations_count,
-            lab: Lab {
+            lab: TestbedStatus {
                 lateness_ms,
                 cpu_share: own_usage.cpu_share,
                 startup_s: own_usage.startup_s,
                 memory_mb: peak_memory_mb(),
-                trusted: lateness_ms <= MOST_LATENESS_MS,
+                trusted: lateness_ms <= MAX_LATENESS_MS,
             },
             faults: std::mem::take(&mut self.fault_log),
         }
--- a/testbed/src/run/revision_tap.rs
+++ b/testbed/src/run/revision_tap.rs
@@ -23,7 +23,7 @@
                 break;
             }
             if let Ok(revision) = String::from_utf8_lossy(&unread[digits..digits + count]).parse() {
-                record.tell(proxy, revision);
+                record.add_revision(proxy, revision);
             }
             start = digits + count;
         }
--- a/testbed/src/scratch.rs
+++ b/testbed/src/scratch.rs
@@ -12,10 +12,10 @@
 }
 
 impl Scratch {
-    /// Creates a directory below the system's temporary one; its name begins with `name` and is unique.
+    /// Creates a directory in the system's temporary directory; its name begins with `name` and is unique.
     ///
     /// # Errors
-    /// Where the directory cannot be created.
+    /// If the directory cannot be created.
     pub fn new(name: &str) -> std::io::Result<Self> {
         let number = CREATED.fetch_add(1, Ordering::Relaxed);
         Self::create(std::env::temp_dir().join(format!("{name}-{}-{number}", std::process::id())))
@@ -24,7 +24,7 @@
     /// Creates the directory `path`.
     ///
     /// # Errors
-    /// Where it cannot be created.
+    /// If it cannot be created.
     pub fn create(path: PathBuf) -> std::io::Result<Self> {
         std::fs::create_dir_all(&path)?;
         Ok(Self { path })
@@ -38,6 +38,6 @@
 
 impl Drop for Scratch {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.path); // a directory that cannot be removed is left to the system
+        let _ = std::fs::remove_dir_all(&self.path); // a directory that can't be removed is left behind
     }
 }
--- a/testbed/src/stage.rs
+++ b/testbed/src/stage.rs
@@ -1,5 +1,5 @@
-//! What stands on the two event loops of a run: the backends on one, the clients and their front on the other.
-//! Each loop holds its own in a thread-local place, and the run's thread sends it jobs.
+//! The two event loops of a run: the backends run on one, the clients and their front on the other. Each loop has its
+//! state in a thread-local variable, and the thread of the run sends it jobs.
 
 use crate::backend::{Backend, DRAIN_GRACE, Made, World};
 use crate::client::{Arrival, Clients, Direct, Front, packed};
@@ -14,36 +14,38 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// One machine that stood in a backend's place, and what it was sent.
+/// A machine that ran as a backend, and the load that it received.
 #[derive(Clone, Debug)]
 pub struct Machine {
     /// Its name in the list.
     pub id: String,
     /// Its tier.
     pub tier: usize,
-    /// Its listed weight at its start, and its cores' speed together.
+    /// Its weight in the list at its start.
     pub weight: f64,
-    /// See `weight`.
+    /// The total speed of its cores.
     pub speed: f64,
-    /// What it was sent.
+    /// The requests and connections that it received.
     pub sent: Sent,
 }
 
 thread_local! {
     static BACKENDS: RefCell<Option<Backends>> = const { RefCell::new(None) };
-    static FRONT: RefCell<Option<Playing>> = const { RefCell::new(None) };
+    static FRONT: RefCell<Option<FrontState>> = const { RefCell::new(None) };
 }
 
-/// The front, and what stops its clients.
-type Playing = (Rc<Front>, Rc<Cell<bool>>);
+/// The front, and the flag that stops its clients.
+type FrontState = (Rc<Front>, Rc<Cell<bool>>);
 
 struct Backends {
     world: Rc<World>,
-    /// The machine in each place, and those that stood there before.
-    now: Vec<Option<Rc<Backend>>>,
-    /// Machines that drain while another stands in their place.
-    leaving: Vec<Rc<Backend>>,
-    past: Vec<Machine>,
+    /// The current machine of each index.
+    current: Vec<Option<Rc<Backend>>>,
+    /// Machines that drain after they were replaced.
+    draining: Vec<Rc<Backend>>,
+    /// Machines that were killed when they were replaced.
+    former: Vec<Machine>,
+    /// The connections to the next tier's proxy, of each index.
     pools: Vec<Option<Rc<ProxyPool>>>,
 }
 
@@ -53,57 +55,57 @@
     Machine { id, tier, weight, speed, sent: backend.sent().0 }
 }
 
-/// The backends' loop.
+/// The event loop of the backends.
 #[derive(Clone)]
-pub struct BackendStage(Loop);
+pub struct BackendLoop(Loop);
 
-impl BackendStage {
-    /// Starts the loop, with room for `places` backends.
+impl BackendLoop {
+    /// Starts the loop for as many backends as `in_flight` has counters.
     ///
     /// # Errors
-    /// Where the thread can't be made.
+    /// If the thread can't be created.
     pub fn start(
         record: Arc<Record>,
         experiment: &Experiment,
         in_flight: Arc<Vec<AtomicUsize>>,
     ) -> std::io::Result<Self> {
-        let stage = Self(Loop::start("backends")?);
+        let backend_loop = Self(Loop::start("backends")?);
         let (classes, tiers) = (experiment.classes.clone(), experiment.tiers.clone());
         let Oracle { drain_ms, .. } = experiment.oracle;
-        let places = in_flight.len();
-        stage.0.spawn(move || async move {
+        let count = in_flight.len();
+        backend_loop.0.spawn(move || async move {
             DRAIN_GRACE.set(drain_ms);
             let world = World::new(record, classes, tiers, in_flight);
-            let stage = Backends {
+            let backends = Backends {
                 world,
-                now: vec![None; places],
-                leaving: Vec::new(),
-                past: Vec::new(),
-                pools: vec![None; places],
+                current: vec![None; count],
+                draining: Vec::new(),
+                former: Vec::new(),
+                pools: vec![None; count],
             };
-            BACKENDS.set(Some(stage));
+            BACKENDS.set(Some(backends));
         });
-        Ok(stage)
+        Ok(backend_loop)
     }
 
-    /// Starts a machine in its place: its address. The one before is dead from then on, or where `leaves` still
-    /// there under its name until [`BackendStage::gone`].
-    pub fn put(&self, made: Made, leaves: bool) -> Option<SocketAddr> {
-        let place = made.index;
+    /// Starts a machine at its index and returns its address. The previous one is killed, or if `previous_drains`, still
+    /// runs under its name until [`BackendLoop::kill`].
+    pub fn start_backend(&self, made: Made, previous_drains: bool) -> Option<SocketAddr> {
+        let index = made.index;
         let started = self.0.wait(move || async move {
             let world = BACKENDS.with_borrow(|b| b.as_ref().map(|b| b.world.clone()))?;
             let backend = Backend::start(world, made).await.ok()?;
             BACKENDS.with_borrow_mut(|b| {
-                let stage = b.as_mut()?;
-                if let Some(pool) = &stage.pools[place] {
+                let backends = b.as_mut()?;
+                if let Some(pool) = &backends.pools[index] {
                     backend.calls_through(pool.clone());
                 }
-                let before = stage.now[place].replace(backend.clone());
-                match before {
-                    Some(before) if leaves => stage.leaving.push(before),
-                    Some(before) => {
-                        before.kill();
-                        stage.past.push(machine(&before));
+                let previous = backends.current[index].replace(backend.clone());
+                match previous {
+                    Some(previous) if previous_drains => backends.draining.push(previous),
+                    Some(previous) => {
+                        previous.kill();
+                        backends.former.push(machine(&previous));
                     }
                     None => {}
                 }
@@ -113,98 +115,99 @@
         started.flatten()
     }
 
-    /// Does something with the machine in a place, and with the world around it.
-    pub fn with(&self, place: usize, act: impl FnOnce(&Rc<Backend>, &World) + Send + 'static) {
+    /// Calls `action` with the machine of an index and with the shared state of all backends.
+    pub fn with(&self, index: usize, action: impl FnOnce(&Rc<Backend>, &World) + Send + 'static) {
         self.0.spawn(move || async move {
             BACKENDS.with_borrow(|b| {
-                let stage = b.as_ref()?;
-                act(stage.now.get(place)?.as_ref()?, &stage.world);
+                let backends = b.as_ref()?;
+                action(backends.current.get(index)?.as_ref()?, &backends.world);
                 Some(())
             });
         });
     }
 
-    /// Does something with the machine of that name, in its place or leaving.
-    pub fn with_id(&self, id: &str, act: impl FnOnce(&Rc<Backend>) + Send + 'static) {
+    /// Calls `action` with the machine of this name, current or draining.
+    pub fn with_id(&self, id: &str, action: impl FnOnce(&Rc<Backend>) + Send + 'static) {
         let id = id.to_string();
         self.0.spawn(move || async move {
             BACKENDS.with_borrow(|b| {
-                let stage = b.as_ref()?;
-                act(stage.now.iter().flatten().chain(&stage.leaving).find(|b| b.id == id)?);
+                let backends = b.as_ref()?;
+                action(backends.current.iter().flatten().chain(&backends.draining).find(|b| b.id == id)?);
                 Some(())
             });
         });
     }
 
-    /// The machine of that name dies.
-    pub fn gone(&self, id: &str) {
+    /// Kills the machine of this name.
+    pub fn kill(&self, id: &str) {
         self.with_id(id, |backend| {
             backend.listed(false);
             backend.kill();
         });
     }
 
-    /// The machine in a place makes its calls of the next tier through this proxy.
-    pub fn through(&self, place: usize, proxy: usize, address: Option<SocketAddr>) {
+    /// Sets the proxy through which the machine of an index calls the next tier.
+    pub fn set_next_tier_proxy(&self, index: usize, proxy: usize, address: Option<SocketAddr>) {
         self.0.spawn(move || async move {
             BACKENDS.with_borrow_mut(|b| {
-                let Some(stage) = b.as_mut() else { return };
-                let record = stage.world.record.clone();
-                let pool = stage.pools[place].get_or_insert_with(|| ProxyPool::new(proxy, None, record));
+                let Some(backends) = b.as_mut() else { return };
+                let record = backends.world.record.clone();
+                let pool = backends.pools[index].get_or_insert_with(|| ProxyPool::new(proxy, None, record));
                 pool.set_address(address);
-                if let Some(backend) = &stage.now[place] {
+                if let Some(backend) = &backends.current[index] {
                     backend.calls_through(pool.clone());
                 }
             });
         });
     }
 
-    /// Every machine that stood anywhere, in the order of places, those of before first.
+    /// All machines: former ones first, then draining ones, then the current ones by index.
     pub fn machines(&self) -> Vec<Machine> {
         let all = self.0.wait(|| async {
             BACKENDS.with_borrow(|b| {
-                let Some(stage) = b.as_ref() else { return Vec::new() };
-                let now = stage.leaving.iter().chain(stage.now.iter().flatten()).map(|b| machine(b));
-                stage.past.iter().cloned().chain(now).collect()
+                let Some(backends) = b.as_ref() else { return Vec::new() };
+                let running =
+                    backends.draining.iter().chain(backends.current.iter().flatten()).map(|b| machine(b));
+                backends.former.iter().cloned().chain(running).collect()
             })
         });
         all.unwrap_or_default()
     }
 }
 
-/// The clients' loop.
+/// The event loop of the clients.
 #[derive(Clone)]
-pub struct ClientStage(Loop);
+pub struct ClientLoop(Loop);
 
-impl ClientStage {
-    /// Starts the loop, with a front before these proxies.
+impl ClientLoop {
+    /// Starts the loop, with a front for these proxies.
     ///
     /// # Errors
-    /// Where the thread can't be made.
+    /// If the thread can't be created.
     pub fn start(
         record: Arc<Record>,
         addresses: Vec<Option<SocketAddr>>,
         shares: Vec<f64>,
     ) -> std::io::Result<Self> {
-        let stage = Self(Loop::start("clients")?);
-        stage.0.spawn(move || async move {
+        let client_loop = Self(Loop::start("clients")?);
+        client_loop.0.spawn(move || async move {
             let pool =
                 |(n, address): (usize, &Option<SocketAddr>)| ProxyPool::new(n, *address, record.clone());
             let pools = addresses.iter().enumerate().map(pool).collect();
             let alive = addresses.iter().map(Option::is_some).collect();
             FRONT.set(Some((Front::new(pools, alive, shares), Rc::default())));
         });
-        Ok(stage)
+        Ok(client_loop)
     }
 
-    /// Does something with the front.
-    pub fn with(&self, act: impl FnOnce(&Front) + Send + 'static) {
+    /// Calls `action` with the front.
+    pub fn with(&self, action: impl FnOnce(&Front) + Send + 'static) {
         self.0.spawn(move || async move {
-            FRONT.with_borrow(|f| f.as_ref().map(|(front, _)| act(front)));
+            FRONT.with_borrow(|f| f.as_ref().map(|(front, _)| action(front)));
         });
     }
 
-    /// Plays the arrivals; the receiver gets the lab's lateness in microseconds once all have ended.
+    /// Sends the arrivals at their times; the receiver gets the lateness, in microseconds, once all requests have ended.
     pub fn play(
         &self,
         record: Arc<Record>,
@@ -212,23 +215,23 @@
         direct: Option<Direct>,
         arrivals: Vec<Arrival>,
     ) -> std::sync::mpsc::Receiver<Histogram<u64>> {
-        let (done, wait) = std::sync::mpsc::channel();
+        let (lateness, receiver) = std::sync::mpsc::channel();
         self.0.spawn(move || async move {
             let Some((front, stop)) = FRONT.with_borrow(Clone::clone) else { return };
             let clients = Rc::new(Clients { record, front, experiment: Rc::new(experiment), direct });
-            let _ = done.send(clients.play(arrivals, stop).await);
+            let _ = lateness.send(clients.play(arrivals, stop).await);
         });
-        wait
+        receiver
     }
 
-    /// Sends nothing more.
+    /// Stops sending arrivals.
     pub fn stop(&self) {
         self.0.spawn(|| async {
             FRONT.with_borrow(|f| f.as_ref().map(|(_, stop)| stop.set(true)));
         });
     }
 
-    /// Connections opened to proxies so far.
+    /// The number of connections opened to proxies so far.
     pub fn opened(&self) -> u64 {
         let opened = self.0.wait(|| async {
             FRONT.with_borrow(|f| {
@@ -239,9 +242,9 @@
     }
 }
 
-/// Notes where a backend is for the lab's own dealer; `None`: nowhere.
-pub fn note_direct(direct: Option<&Direct>, place: usize, address: Option<SocketAddr>) {
-    if let Some((known, ..)) = direct.and_then(|d| d.backends.get(place)) {
-        known.store(address.map_or(0, packed), Ordering::Relaxed);
+/// Sets the address of a backend for experiments without proxies; `None` if it is not listed.
+pub fn set_direct_address(direct: Option<&Direct>, backend: usize, address: Option<SocketAddr>) {
+    if let Some((stored, ..)) = direct.and_then(|d| d.backends.get(backend)) {
+        stored.store(address.map_or(0, packed), Ordering::Relaxed);
     }
 }
--- a/testbed/src/syscall_faults.rs
+++ b/testbed/src/syscall_faults.rs
@@ -1,39 +1,38 @@
-//! The preload library (`testbed/syscall-faults`) from the lab's side: where it lies, and the environment that tells it what to do.
+//! Use of the preload library (`testbed/syscall-faults`): its path, and the environment that configures it.
 
 use std::path::PathBuf;
 
 /// The library's file name.
 const LIBRARY: &str = "libfleet_testbed_syscall_faults.so";
 
-/// Where the library lies beside this program or test, if it has been built.
+/// The path of the library beside this program or test, if it has been built.
 pub fn library() -> Option<PathBuf> {
     let program = std::env::current_exe().ok()?;
     let folders = program.ancestors().skip(1).take(2);
-    let places = folders.flat_map(|folder| [folder.join(LIBRARY), folder.join("deps").join(LIBRARY)]);
-    places.into_iter().find(|path| path.exists())
+    let candidates = folders.flat_map(|folder| [folder.join(LIBRARY), folder.join("deps").join(LIBRARY)]);
+    candidates.into_iter().find(|path| path.exists())
 }
 
-/// What the library is told.
+/// The configuration of the library.
 #[derive(Clone, Debug, Default)]
 pub struct SyscallFaults {
-    /// Rules as `testbed/syscall-faults` reads them.
+    /// The rules, in the syntax of `testbed/syscall-faults`.
     pub rules: Vec<String>,
-    /// The seed of its lots.
+    /// The seed of its random draws.
     pub seed: u64,
-    /// The moment on the monotonic clock from which the rules' times count, in nanoseconds; none: the process's start.
+    /// The time on the monotonic clock, in nanoseconds, from which the times of rules count; by default the first call.
     pub epoch_ns: Option<u64>,
-    /// Where it counts what each rule has done; none: nowhere.
+    /// The file in which it counts the calls that each rule has changed, if any.
     pub counts: Option<PathBuf>,
 }
 
 impl SyscallFaults {
-    /// The environment of a process that is to load it.
+    /// The environment variables of a process that loads the library.
     ///
     /// # Panics
-    /// Where the library has not been built.
+    /// If the library has not been built.
     pub fn environment(&self) -> Vec<(String, String)> {
-        let library =
-            library().expect("the preload library, as `cargo build --release --workspace` makes it");
+        let library = library().expect("the preload library, built by `cargo build --release --workspace`");
         let mut environment = vec![
             ("LD_PRELOAD".to_string(), library.display().to_string()),
             ("FLEETLAB_SHIM_RULES".to_string(), self.rules.join(";")),
@@ -49,11 +48,11 @@
     }
 }
 
-/// How many calls each rule has changed, as the library counts them in a file.
+/// Reads the number of calls that each rule has changed, from the library's file.
 pub fn read_counts(path: &std::path::Path) -> Vec<u64> {
     let bytes = std::fs::read(path).unwrap_or_default();
     bytes
         .chunks_exact(8)
-        .map(|piece| piece.iter().rev().fold(0, |n, byte| n << 8 | u64::from(*byte)))
+        .map(|bytes| bytes.iter().rev().fold(0, |n, byte| n << 8 | u64::from(*byte)))
         .collect()
 }
--- a/testbed/src/usage.rs
+++ b/testbed/src/usage.rs
@@ -1,36 +1,37 @@
-//! What a process or a group of its threads has used so far, read from `/proc`.
+//! Resource usage of a process or of a group of its threads, read from `/proc`.
 
 use std::io::{Error, ErrorKind, Result};
 use std::path::Path;
 use std::time::Duration;
 
-/// Units of processor time in `/proc/PID/stat`: `USER_HZ`, which Linux fixes at 100 for user space.
+/// The unit of processor time in `/proc/PID/stat`: `USER_HZ`, which Linux fixes at 100 for user space.
 const TICKS_PER_SECOND: u64 = 100;
-/// Places of `utime` and `stime` among the fields behind the command's name.
+/// Indices of `utime` and `stime` among the fields after the command's name.
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
-/// Fields of the first line of `/proc/stat` that add up to the whole time: those behind them are parts of others.
+/// The number of fields in the first line of `/proc/stat` that add up to the total time; later fields are parts of
+/// these.
 const MACHINE_FIELDS: usize = 8;
-/// `idle` and `iowait` among them.
+/// Indices of `idle` and `iowait` among these fields.
 const IDLE_FIELDS: std::ops::Range<usize> = 3..5;
 
-/// What one process has used since it started.
+/// The resource usage of a process since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor time, user and system, to 10 ms.
+    /// Processor time, user and system, with a resolution of 10 ms.
     pub processor: Duration,
-    /// Resident memory now, in kB (`VmRSS`).
+    /// Current resident memory, in kB (`VmRSS`).
     pub resident_kb: u64,
-    /// Resident memory at its peak, in kB (`VmHWM`).
+    /// Peak resident memory, in kB (`VmHWM`).
     pub peak_kb: u64,
-    /// Bytes that it had written to disk (`write_bytes`).
+    /// Bytes written to disk (`write_bytes`).
     pub disk_bytes: u64,
 }
 
-/// What the process `pid` has used.
+/// The usage of the process `pid`.
 ///
 /// # Errors
-/// Where it is gone, or its files can't be read.
+/// If the process does not exist, or its files can't be read.
 pub fn of_process(pid: u32) -> Result<Usage> {
     let directory = format!("/proc/{pid}");
     let read = |file: &str| std::fs::read_to_string(format!("{directory}/{file}"));
@@ -43,19 +44,19 @@
     })
 }
 
-/// What this process has used.
+/// The usage of this process.
 ///
 /// # Errors
-/// As [`of_process`].
+/// See [`of_process`].
 pub fn of_self() -> Result<Usage> {
     of_process(std::process::id())
 }
 
-/// The processor time of this process's threads whose name begins with `prefix` (at most 15 characters are kept of a
-/// thread's name).
+/// The processor time of this process's threads whose names begin with `prefix` (Linux truncates a thread's name to 15
+/// characters).
 ///
 /// # Errors
-/// Where the threads can't be listed.
+/// If the threads can't be listed.
 pub fn of_threads(prefix: &str) -> Result<Duration> {
     let mut total = Duration::ZERO;
     for task in std::fs::read_dir("/proc/self/task")? {
@@ -64,7 +65,7 @@
     Ok(total)
 }
 
-/// A thread's processor time; `None` if its name begins otherwise, or if it has ended meanwhile.
+/// The processor time of a thread; `None` if its name has another prefix, or if it has ended meanwhile.
 fn of_thread(directory: &Path, prefix: &str) -> Option<Duration> {
     let name = std::fs::read_to_string(directory.join("comm")).ok()?;
     if !name.starts_with(prefix) {
@@ -73,15 +74,15 @@
     processor_time(&std::fs::read_to_string(directory.join("stat")).ok()?)
 }
 
-/// The processor time that all processes of the machine have used, its own work included, since it started.
+/// The processor time used by the machine since it started: by all processes and the kernel.
 ///
 /// # Errors
-/// Where it can't be read.
+/// If it can't be read.
 pub fn of_machine() -> Result<Duration> {
     busy_time(&std::fs::read_to_string("/proc/stat")?).ok_or_else(malformed)
 }
 
-/// The time that all processors were neither idle nor waiting for a disk, from the text of `/proc/stat`.
+/// The total time in which processors were neither idle nor waiting for a disk, from the text of `/proc/stat`.
 fn busy_time(stat: &str) -> Option<Duration> {
     let fields = stat.lines().find_map(|line| line.strip_prefix("cpu "))?;
     let ticks: Vec<u64> = fields
@@ -100,21 +101,21 @@
 
 /// User and system time from the text of a `stat` file.
 fn processor_time(stat: &str) -> Option<Duration> {
-    // The command's name stands in parentheses and may hold spaces and parentheses of its own.
+    // The command's name is enclosed in parentheses and may contain spaces and parentheses.
     let (_, fields) = stat.rsplit_once(')')?;
     let fields: Vec<&str> = fields.split_whitespace().collect();
     let ticks = |field: usize| fields.get(field)?.parse::<u64>().ok();
     Some(duration(ticks(USER_TIME_FIELD)? + ticks(SYSTEM_TIME_FIELD)?))
 }
 
-/// The number behind `name` in a file of lines `name: number unit`.
+/// The number after `name` in a file with lines of the form `name: number unit`.
 fn field(text: &str, name: &str) -> Option<u64> {
     let line = text.lines().find_map(|line| line.strip_prefix(name))?;
     line.split_whitespace().next()?.parse().ok()
 }
 
 fn malformed() -> Error {
-    Error::new(ErrorKind::InvalidData, "a file of /proc is not of the expected form")
+    Error::new(ErrorKind::InvalidData, "a file of /proc is malformed")
 }
 
 #[cfg(test)]
--- a/testbed/src/usage/tests.rs
+++ b/testbed/src/usage/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn processor_time_is_read_behind_a_name_with_spaces_and_parentheses() {
+fn processor_time_is_read_after_a_name_with_spaces_and_parentheses() {
     let stat = "42 (a) name (x) S 1 42 42 0 -1 4194304 500 0 0 0 150 25 0 0 20 0 1 0 100 0 0";
     assert_eq!(processor_time(stat), Some(Duration::from_millis(1_750)));
     assert_eq!(processor_time("42 (short) S 1 2"), None);
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_field_is_found_by_its_whole_name() {
+fn a_field_is_found_by_its_complete_name() {
     let text = "VmPeak:\t  900 kB\nVmHWM:\t  700 kB\ncancelled_write_bytes: 7\nwrite_bytes: 5\n";
     assert_eq!(field(text, "VmHWM:"), Some(700));
     assert_eq!(field(text, "write_bytes:"), Some(5));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn this_process_has_used_something() {
+fn the_usage_of_this_process_is_not_zero() {
     let usage = of_self().expect("this process is in /proc");
     assert!(usage.resident_kb > 0 && usage.peak_kb >= usage.resident_kb);
 }
