--- a/testbed/src/client/arrivals.rs
+++ b/testbed/src/client/arrivals.rs
@@ -1,14 +1,14 @@
-//! The arrivals of a run: an open loop of requests, drawn before the run so that the fleet's speed has no effect on them.
+//! The arrivals of a run: an open loop of requests, drawn before the run so that the fleet's speed does not affect them.
 
 use crate::spec::{Experiment, Load};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 
-/// A request, as it is drawn before the run.
+/// A request, drawn before the run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When it is to be sent, in seconds from the start.
+    /// When it is due, in seconds from the start.
     pub at: f64,
     /// The index of its class.
     pub class: usize,
@@ -16,13 +16,13 @@
     pub tenant: usize,
     /// Its work, in seconds at a backend of speed 1.
     pub work: f64,
-    /// The random draw in [0, 1) by which a proxy is picked.
+    /// The random draw in [0, 1) that selects a proxy.
     pub position: f64,
     /// The seconds after which its client leaves, if it leaves early.
     pub leaves_after: Option<f64>,
 }
 
-/// Draws all arrivals of a run: a Poisson process at the rate of the moment. The same experiment and seed give the same
+/// Draws all arrivals of a run: a Poisson process with the rate of the time. The same experiment and seed give the same
 /// arrivals.
 pub fn arrivals(experiment: &Experiment, seed: u64) -> Vec<Arrival> {
     let Load { rate, bursts, .. } = &experiment.load;
@@ -36,7 +36,7 @@
         if at >= experiment.seconds {
             return all;
         }
-        // Thinning: drawn at the peak rate, and accepted at the rate of the moment.
+        // Thinning: arrivals are drawn at the peak rate, and accepted in proportion to the current rate.
         if rng.random::<f64>() * peak < rate_at(&experiment.load, at) {
             all.push(arrival(experiment, at, &mut rng));
         }
@@ -68,10 +68,10 @@
 /// Draws an index with a probability in proportion to its weight.
 fn weighted(rng: &mut SmallRng, weights: impl Iterator<Item = f64> + Clone) -> usize {
     let total: f64 = weights.clone().sum();
-    let mut left = rng.random::<f64>() * total;
+    let mut remaining = rng.random::<f64>() * total;
     for (index, weight) in weights.clone().enumerate() {
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return index;
         }
     }
--- a/testbed/src/client/direct.rs
+++ b/testbed/src/client/direct.rs
@@ -1,11 +1,11 @@
-//! Balancing without proxies, for experiments that compare with a plain policy: the testbed itself picks a backend.
+//! Load balancing without proxies, for experiments with a baseline policy: the testbed itself selects a backend.
 
 use crate::spec::Dealer;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// What the testbed's own policies pick a backend from.
+/// The state from which a baseline policy selects a backend.
 #[derive(Clone)]
 pub struct Direct {
     /// The policy.
@@ -33,27 +33,25 @@
 }
 
 impl Direct {
-    /// Picks a backend by the policy; `position` in [0, 1) is the random draw that it may use.
+    /// Selects a backend by the policy; `position` in [0, 1) is the random draw that it may use.
     pub(super) fn pick(&self, position: f64) -> Option<SocketAddr> {
         let addresses = self.backends.iter().map(|(address, ..)| address.load(Ordering::Relaxed));
         let listed: Vec<(usize, u64)> = addresses.enumerate().filter(|(_, address)| *address != 0).collect();
         let chosen = match self.dealer {
-            Dealer::Least => {
-                listed.iter().min_by(|one, other| self.load(one.0).total_cmp(&self.load(other.0)))
-            }
+            Dealer::Least => listed.iter().min_by(|a, b| self.load(a.0).total_cmp(&self.load(b.0))),
             _ => self.pick_by_capacity(&listed, position),
         };
         let (backend, address) = *chosen.or(listed.last())?;
-        // Counted at once, so that arrivals of one moment see each other; the backend sets the true number.
+        // Counted at once, so that simultaneous arrivals count each other; the backend sets the true number later.
         self.in_flight[backend].fetch_add(1, Ordering::Relaxed);
         Some(unpacked(address))
     }
 
     fn pick_by_capacity<'a>(&self, listed: &'a [(usize, u64)], position: f64) -> Option<&'a (usize, u64)> {
-        let mut left = position * listed.iter().map(|(backend, _)| self.capacity(*backend)).sum::<f64>();
+        let mut remaining = position * listed.iter().map(|(backend, _)| self.capacity(*backend)).sum::<f64>();
         listed.iter().find(|(backend, _)| {
-            left -= self.capacity(*backend);
-            left < 0.0
+            remaining -= self.capacity(*backend);
+            remaining < 0.0
         })
     }
 
--- a/testbed/src/client/front.rs
+++ b/testbed/src/client/front.rs
@@ -1,4 +1,4 @@
-//! The front of a run: which proxies it takes to be alive, and how it spreads requests over them.
+//! The front of a run: the load balancer before the proxies, which spreads requests over those that it believes alive.
 
 use crate::proxy_pool::ProxyPool;
 use crate::spec::Deals;
@@ -8,7 +8,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The front: which proxies it takes to be alive, and the share of the traffic of each.
+/// The front: the proxies that it believes alive, and the share of the traffic of each.
 pub struct Front {
     /// The connections to each proxy.
     pub pools: Vec<Rc<ProxyPool>>,
@@ -17,18 +17,18 @@
 }
 
 impl Front {
-    /// A front of these proxies, `alive` or not, with these shares of the traffic.
+    /// A front for these proxies, `alive` or not, with these shares of the traffic.
     pub fn new(pools: Vec<Rc<ProxyPool>>, alive: Vec<bool>, shares: Vec<f64>) -> Rc<Self> {
         Rc::new(Self { pools, alive: RefCell::new(alive), shares })
     }
 
-    /// Sends requests to a proxy from now on, or stops.
+    /// Starts or stops sending requests to a proxy.
     pub fn set_alive(&self, proxy: usize, alive: bool) {
         self.alive.borrow_mut()[proxy] = alive;
     }
 
-    /// Picks a proxy by `position` in [0, 1): among the idle connections where `spread` asks for that and there are any,
-    /// else among the proxies that are alive, by their shares.
+    /// Selects a proxy by `position` in [0, 1): by the idle connections if `spread` is [`Deals::Connections`] and there are
+    /// any, else among the proxies that are alive, by their shares.
     pub(super) fn pick(&self, position: f64, spread: Deals) -> Option<Rc<ProxyPool>> {
         let by_connection = if spread == Deals::Connections { self.pick_idle(position) } else { None };
         by_connection.or_else(|| self.pick_by_share(position))
@@ -41,7 +41,7 @@
         let mut skip = (position * total as f64) as usize;
         for (proxy, pool) in self.pools.iter().enumerate() {
             match skip.checked_sub(idle(proxy)) {
-                Some(left) => skip = left,
+                Some(rest) => skip = rest,
                 None => return Some(pool.clone()),
             }
         }
@@ -52,10 +52,10 @@
         let alive = self.alive.borrow();
         let shares = || self.shares.iter().enumerate().filter(|(proxy, _)| alive[*proxy]);
         let total: f64 = shares().map(|(_, share)| share).sum();
-        let mut left = position * total;
+        let mut remaining = position * total;
         for (proxy, share) in shares() {
-            left -= share;
-            if left < 0.0 {
+            remaining -= share;
+            if remaining < 0.0 {
                 return Some(self.pools[proxy].clone());
             }
         }
@@ -63,12 +63,12 @@
     }
 }
 
-/// The proxies that carry more than the others where traffic is uneven: one in this many.
+/// If traffic is uneven, one proxy in this many gets more than the others.
 const ONE_HEAVY_IN: usize = 10;
-/// The least share of a proxy.
+/// The minimum share of a proxy.
 const MIN_SHARE: f64 = 0.05;
 
-/// The share of the traffic of each proxy, with a mean of 1: one in ten carries `uneven` times the mean.
+/// The share of the traffic of each proxy, with a mean of 1: one in ten gets `uneven` times the mean.
 pub fn shares(count: usize, uneven: f64, seed: u64) -> Vec<f64> {
     let heavy = if uneven > 1.0 { (count / ONE_HEAVY_IN).max(1).min(count) } else { 0 };
     let light = count - heavy;
--- a/testbed/src/client/mod.rs
+++ b/testbed/src/client/mod.rs
@@ -1,7 +1,7 @@
 //! Emulated clients: they send the arrivals of a run at their times, through the front or directly, retry, and leave early.
 //!
-//! A request's latency counts from when it was to be sent, not from when the testbed came to send it, so that neither a slow
-//! fleet nor a late testbed hides anything (no coordinated omission); the testbed's own lateness is reported beside it.
+//! A request's latency is measured from its due time, not from the time at which the testbed sent it, so that neither a
+//! slow fleet nor a late testbed hides latency (no coordinated omission); the testbed's own lateness is reported as well.
 
 mod arrivals;
 mod direct;
@@ -20,33 +20,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long after its deadline a request without an end is lost, in seconds.
-const LOST_AFTER: f64 = 0.5;
+/// How long after its deadline a request without an answer is lost, in seconds.
+const LOST_AFTER_S: f64 = 0.5;
 
-/// Retries of a client whose connection to a dead proxy could not be opened, beyond those of the experiment.
+/// Maximum number of retries if no connection to a proxy can be opened, if the experiment allows fewer.
 const MAX_CONNECT_RETRIES: usize = 3;
-/// The highest lateness that is measured, in microseconds.
+/// The highest lateness that is recorded, in microseconds.
 const MAX_LATENESS_US: u64 = 60_000_000;
-/// Arrivals that are sent before other tasks have their turn.
+/// The number of arrivals that are sent before the loop yields to other tasks.
 const YIELD_EVERY: u64 = 16;
 
 /// Sends the arrivals of a run.
 pub struct Clients {
-    /// The run's record.
+    /// The record of the run.
     pub record: Arc<Record>,
     /// The front.
     pub front: Rc<Front>,
     /// The experiment.
     pub experiment: Rc<Experiment>,
-    /// Where requests go in experiments without proxies.
+    /// The direct connection to backends, in experiments without proxies.
     pub direct: Option<Direct>,
 }
 
-/// The end of a request, and the number of its attempts.
+/// The outcome of a request, and the number of its attempts.
 type RequestEnd = (Outcome, usize);
 
 impl Clients {
-    /// Sends every arrival at its time and waits for all ends; returns how late each was sent, in microseconds.
+    /// Sends every arrival at its time and waits until all have ended; returns how late each was sent, in microseconds.
     pub async fn play(self: Rc<Self>, arrivals: Vec<Arrival>, stop: Rc<Cell<bool>>) -> Histogram<u64> {
         let mut lateness = Histogram::new_with_bounds(1, MAX_LATENESS_US, 3)
             .unwrap_or_else(|error| unreachable!("constant bounds of a histogram: {error}"));
@@ -79,7 +79,7 @@
         self.record.end(End { at, class, outcome, latency, attempts }, &broken);
     }
 
-    /// The request's text, by its id.
+    /// Returns a function that formats the request with a given id.
     fn text<'a>(&'a self, number: u64, arrival: &'a Arrival, is_retry: bool) -> impl Fn(u64) -> Vec<u8> + 'a {
         let class = &self.experiment.classes[arrival.class];
         let mut more_headers = match class.effect {
@@ -123,7 +123,7 @@
             attempts += 1;
             let sent_at = self.record.now();
             let text = self.text(number, arrival, attempts > 1);
-            let timeout = deadline.min(leaves_at - LOST_AFTER) + LOST_AFTER - sent_at;
+            let timeout = deadline.min(leaves_at - LOST_AFTER_S) + LOST_AFTER_S - sent_at;
             let end = pool.attempt(text, timeout).await;
             let now = self.record.now();
             if now >= leaves_at {
@@ -133,18 +133,18 @@
                 broken.push((pool.proxy, [sent_at, now]));
             }
             let outcome = self.outcome(end, pool.proxy, [sent_at, now]);
-            let next = now + retry_after(end).max(load.retry_wait);
+            let retry_at = now + retry_after(end).max(load.retry_wait);
             let may_retry = match end {
                 AttemptEnd::Answered { status: 200, .. } => false,
                 AttemptEnd::Broken if self.runs_once(arrival) => false,
                 AttemptEnd::ConnectFailed => attempts <= load.retries.max(MAX_CONNECT_RETRIES),
                 AttemptEnd::Answered { .. } | AttemptEnd::Broken => attempts <= load.retries,
             };
-            if !may_retry || next >= deadline.min(leaves_at) {
+            if !may_retry || retry_at >= deadline.min(leaves_at) {
                 return (outcome, attempts);
             }
-            tokio::time::sleep(Duration::from_secs_f64((next - now).max(0.0))).await;
-            // Another proxy in most cases, derived from the first draw.
+            tokio::time::sleep(Duration::from_secs_f64((retry_at - now).max(0.0))).await;
+            // Derived from the first draw, so that another proxy is selected in most cases.
             position = (position * 7.31 + 0.37).fract();
         }
     }
@@ -154,7 +154,7 @@
         self.experiment.classes[arrival.class].effect == Effect::SingleShot
     }
 
-    /// The outcome of a request whose last attempt, at `proxy` in this span of the run, ended so.
+    /// The outcome of a request whose last attempt, at `proxy` during `span`, ended with `end`.
     fn outcome(&self, end: AttemptEnd, proxy: usize, span: [f64; 2]) -> Outcome {
         match end {
             AttemptEnd::Answered { status: 200, is_own: true, .. } => Outcome::Served,
@@ -164,7 +164,7 @@
             }
             AttemptEnd::Answered { status: 429 | 503, .. } => Outcome::Refused,
             AttemptEnd::Answered { .. } => Outcome::Failed,
-            // The front may not have noticed yet that a proxy has gone: no answer is owed.
+            // The front may not have noticed yet that the proxy is gone: this is not a lost request.
             AttemptEnd::ConnectFailed => Outcome::Died,
             AttemptEnd::Broken if self.record.was_unreachable(proxy, span) => Outcome::Died,
             AttemptEnd::Broken => Outcome::Failed,
@@ -174,7 +174,7 @@
     async fn send_directly(&self, direct: &Direct, number: u64, arrival: &Arrival) -> RequestEnd {
         let class = &self.experiment.classes[arrival.class];
         let Some(address) = direct.pick(arrival.position) else { return (Outcome::Refused, 1) };
-        // A new connection for each request: what is compared are policies, not connections.
+        // A new connection for each request: the baselines compare policies, not connections.
         let pool = ProxyPool::new(0, Some(address), self.record.clone());
         match pool.attempt(self.text(number, arrival, false), class.hard_limit).await {
             AttemptEnd::Answered { status: 200, .. } => (Outcome::Served, 1),
--- a/testbed/src/spec/tests.rs
+++ b/testbed/src/spec/tests.rs
@@ -22,7 +22,7 @@
 "#;
 
 fn read(text: &str, set: &[&str]) -> Result<Experiment, SpecError> {
-    // Tests run side by side: each file has a name of its own.
+    // Tests run in parallel: each file has a unique name.
     static FILES: AtomicUsize = AtomicUsize::new(0);
     let number = FILES.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("fleet-testbed-spec-{}-{number}.toml", std::process::id()));
@@ -34,22 +34,22 @@
 }
 
 #[test]
-fn an_unknown_key_is_told_with_its_line_and_bad_values_by_name() {
+fn an_unknown_key_is_reported_with_its_line_and_bad_values_by_name() {
     assert_eq!(read(SMALL, &[]).expect("good").backends[0].count, 3);
-    let told = |text: &str, set: &[&str]| read(text, set).expect_err("bad").to_string();
-    let typo = told(&SMALL.replace("rate =", "rat ="), &[]);
+    let error_of = |text: &str, set: &[&str]| read(text, set).expect_err("bad").to_string();
+    let typo = error_of(&SMALL.replace("rate =", "rat ="), &[]);
     assert!(typo.contains("rat") && typo.contains("line 7"), "{typo}");
-    assert!(told(SMALL, &["load.rate=-1"]).contains("load.rate"));
-    assert!(told(SMALL, &["list.nodes=2"]).contains("list.nodes"));
+    assert!(error_of(SMALL, &["load.rate=-1"]).contains("load.rate"));
+    assert!(error_of(SMALL, &["list.nodes=2"]).contains("list.nodes"));
     let fault = format!("{SMALL}\n[[faults]]\nat = 1\nwhat = \"kill\"\nwho = \"proxys 70%\"\n");
-    assert!(told(&fault, &[]).contains("proxys"));
-    let set = read(SMALL, &["proxies.count=7", "backends.0.speed=[1.0, 2.0]"]).expect("set");
-    assert_eq!((set.proxies.count, set.backends[0].speed), (7, [1.0, 2.0]));
+    assert!(error_of(&fault, &[]).contains("proxys"));
+    let overridden = read(SMALL, &["proxies.count=7", "backends.0.speed=[1.0, 2.0]"]).expect("set");
+    assert_eq!((overridden.proxies.count, overridden.backends[0].speed), (7, [1.0, 2.0]));
 }
 
 #[test]
-fn a_fleet_of_the_size_of_the_real_one_can_be_described() {
-    let set = read(SMALL, &["proxies.count=1300", "backends.0.count=1300"]).expect("set");
-    assert_eq!((set.proxies.count, set.backends[0].count), (1300, 1300));
+fn a_fleet_of_production_size_can_be_configured() {
+    let overridden = read(SMALL, &["proxies.count=1300", "backends.0.count=1300"]).expect("set");
+    assert_eq!((overridden.proxies.count, overridden.backends[0].count), (1300, 1300));
     assert!(read(SMALL, &["proxies.count=3000"]).expect_err("too many").to_string().contains("2,048"));
 }
--- a/testbed/syscall-faults/src/rules.rs
+++ b/testbed/syscall-faults/src/rules.rs
@@ -1,24 +1,24 @@
-//! Rules: which operation fails how, how often and when.
+//! Rules: which operations are changed, how, how often and when.
 
 use std::str::FromStr;
 
-/// Most rules that are taken; more are ignored.
+/// Maximum number of rules; further ones are ignored.
 pub const MAX_RULES: usize = 32;
 
-/// What a process asks of the system.
+/// A kind of system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// Reading from a socket.
     Recv,
-    /// Looking at what a socket has to read.
+    /// Peeking at the received bytes of a socket.
     Peek,
     /// Writing to a socket.
     Send,
     /// Accepting a connection.
     Accept,
-    /// Connecting.
+    /// Connecting a socket.
     Connect,
-    /// Making a socket.
+    /// Creating a socket.
     Socket,
     /// Waiting for events.
     Wait,
@@ -28,22 +28,22 @@
     Open,
     /// Writing to a regular file.
     Write,
-    /// Making a regular file durable.
+    /// Syncing a regular file.
     Sync,
 }
 
-/// What becomes of a call.
+/// How a call is changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
     /// It fails with this error number.
     Fails(i32),
-    /// It moves fewer bytes than asked for.
+    /// It transfers fewer bytes than requested.
     Short,
-    /// The clock tells this many seconds more.
+    /// The clock is ahead by this many seconds.
     Shifted(i64),
-    /// Half of the bytes are written, then the process is killed.
+    /// Only a part of the bytes is written, then the process is killed.
     Torn,
-    /// It takes longer, by a drawn time between these.
+    /// It takes longer, by a random time within these limits.
     Delayed {
         /// The shortest, in milliseconds.
         min_ms: u64,
@@ -55,15 +55,15 @@
 /// One rule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rule {
-    /// Which calls.
+    /// The calls that it applies to.
     pub operation: Operation,
-    /// What becomes of them.
+    /// How they are changed.
     pub outcome: Outcome,
-    /// The chance of a call to be changed, from 0 to 1.
+    /// The probability that a call is changed, from 0 to 1.
     pub probability: f64,
-    /// From when, in milliseconds since the epoch.
+    /// When it begins to apply, in milliseconds since the epoch.
     pub from_ms: u64,
-    /// Up to when.
+    /// When it ceases to apply, in milliseconds since the epoch.
     pub to_ms: u64,
 }
 
@@ -105,7 +105,7 @@
     }
 }
 
-/// Reads a delay, as `20..40ms`.
+/// Parses a delay, such as `20..40ms`.
 fn parse_delay(text: &str) -> Option<Outcome> {
     let (min, max) = text.strip_suffix("ms")?.split_once("..")?;
     let (min_ms, max_ms) = (min.parse().ok()?, max.parse().ok()?);
@@ -147,15 +147,15 @@
     }
 }
 
-/// The rules of a text; those that are not understood are left out and counted.
+/// Parses the rules of a text; returns them and the number of invalid or excess ones, which are left out.
 pub fn parse(text: &str) -> (Vec<Rule>, usize) {
     let texts = text.split(';').map(str::trim).filter(|rule| !rule.is_empty());
-    let (mut rules, mut unknown) = (Vec::new(), 0);
+    let (mut rules, mut invalid) = (Vec::new(), 0);
     for text in texts {
         match text.parse() {
             Ok(rule) if rules.len() < MAX_RULES => rules.push(rule),
-            _ => unknown += 1,
+            _ => invalid += 1,
         }
     }
-    (rules, unknown)
+    (rules, invalid)
 }
