--- a/testbed/src/client/arrivals.rs
+++ b/testbed/src/client/arrivals.rs
@@ -1,4 +1,4 @@
-//! The arrivals of a run: an open loop of requests, drawn before the run so that the fleet's speed does not affect them.
+//! The arrivals of a run: an open loop of requests, drawn before the run, independent of the fleet's speed.
 
 use crate::spec::{Experiment, Load};
 use rand::rngs::SmallRng;
--- a/testbed/src/client/front.rs
+++ b/testbed/src/client/front.rs
@@ -27,8 +27,8 @@
         self.alive.borrow_mut()[proxy] = alive;
     }
 
-    /// Selects a proxy by `position` in [0, 1): by the idle connections if `spread` is [`Deals::Connections`] and there are
-    /// any, else among the proxies that are alive, by their shares.
+    /// Selects a proxy by `position` in [0, 1): by the idle connections if `spread` is [`Deals::Connections`] and there
+    /// are any, else among the proxies that are alive, by their shares.
     pub(super) fn pick(&self, position: f64, spread: Deals) -> Option<Rc<ProxyPool>> {
         let by_connection = if spread == Deals::Connections { self.pick_idle(position) } else { None };
         by_connection.or_else(|| self.pick_by_share(position))
--- a/testbed/src/client/mod.rs
+++ b/testbed/src/client/mod.rs
@@ -1,7 +1,8 @@
 //! Emulated clients: they send the arrivals of a run at their times, through the front or directly, retry, and leave early.
 //!
-//! A request's latency is measured from its due time, not from the time at which the testbed sent it, so that neither a
-//! slow fleet nor a late testbed hides latency (no coordinated omission); the testbed's own lateness is reported as well.
+//! A request's latency is measured from its due time, not from the time at which the testbed sent it, so that neither
+//! a slow fleet nor a late testbed hides latency (no coordinated omission). The testbed's own lateness is reported as
+//! well.
 
 mod arrivals;
 mod direct;
@@ -30,7 +31,7 @@
 /// The number of arrivals that are sent before the loop yields to other tasks.
 const YIELD_EVERY: u64 = 16;
 
-/// Sends the arrivals of a run.
+/// The emulated clients of a run.
 pub struct Clients {
     /// The record of the run.
     pub record: Arc<Record>,
@@ -47,7 +48,11 @@
 
 impl Clients {
     /// Sends every arrival at its time and waits until all have ended; returns how late each was sent, in microseconds.
-    pub async fn play(self: Rc<Self>, arrivals: Vec<Arrival>, stop: Rc<Cell<bool>>) -> Histogram<u64> {
+    pub async fn send_arrivals(
+        self: Rc<Self>,
+        arrivals: Vec<Arrival>,
+        stop: Rc<Cell<bool>>,
+    ) -> Histogram<u64> {
         let mut lateness = Histogram::new_with_bounds(1, MAX_LATENESS_US, 3)
             .unwrap_or_else(|error| unreachable!("constant bounds of a histogram: {error}"));
         let mut tasks = tokio::task::JoinSet::new();
--- a/testbed/src/cluster.rs
+++ b/testbed/src/cluster.rs
@@ -31,17 +31,17 @@
     links: Vec<Vec<Option<Relay>>>,
     fronts: Vec<Relay>,
     dir: PathBuf,
-    extra: String,
+    extra_config: String,
     timing: Timing,
 }
 
 impl Cluster {
-    /// Starts `size` nodes on empty directories, with `extra` in the configuration of each.
+    /// Starts `size` nodes on empty directories, with `extra_config` in the configuration of each.
     ///
     /// # Panics
     /// If a node does not start, or a relay can't bind a port.
-    pub fn start(fleet: &mut Fleet, size: usize, extra: &str) -> Self {
-        Self::try_start(fleet, size, extra).expect("the nodes start")
+    pub fn start(fleet: &mut Fleet, size: usize, extra_config: &str) -> Self {
+        Self::try_start(fleet, size, extra_config).expect("the nodes start")
     }
 
     /// Does the same, and returns an error if a node does not start.
@@ -51,8 +51,8 @@
     ///
     /// # Panics
     /// If a relay can't bind a port.
-    pub fn try_start(fleet: &mut Fleet, size: usize, extra: &str) -> Result<Self, StartError> {
-        Self::try_start_timed(fleet, size, extra, TEST_TIMING)
+    pub fn try_start(fleet: &mut Fleet, size: usize, extra_config: &str) -> Result<Self, StartError> {
+        Self::try_start_timed(fleet, size, extra_config, TEST_TIMING)
     }
 
     /// Does the same with the given timing.
@@ -65,7 +65,7 @@
     pub fn try_start_timed(
         fleet: &mut Fleet,
         size: usize,
-        extra: &str,
+        extra_config: &str,
         timing: Timing,
     ) -> Result<Self, StartError> {
         let dir = fleet.scratch("cluster");
@@ -78,7 +78,7 @@
             links,
             fronts: (0..size).map(|_| relay()).collect(),
             dir,
-            extra: extra.into(),
+            extra_config: extra_config.into(),
             timing,
         };
         for n in 0..size {
@@ -92,20 +92,20 @@
         self.dir.join(format!("node-{n}"))
     }
 
-    /// Starts or restarts node `n` with `more` in its configuration; its relays keep their addresses.
+    /// Starts or restarts node `n` with `more_config` in its configuration; its relays keep their addresses.
     ///
     /// # Errors
     /// If the process does not start or does not report its listening address.
-    pub fn start_node(&mut self, fleet: &mut Fleet, n: usize, more: &str) -> Result<(), StartError> {
+    pub fn start_node(&mut self, fleet: &mut Fleet, n: usize, more_config: &str) -> Result<(), StartError> {
         let Timing { heartbeat_ms, election_ms: [min_ms, max_ms] } = self.timing;
         let mut config = format!(
             "listen = \"127.0.0.1:0\"\nnode = {}\ndata_dir = \"{}\"\nheartbeat_ms = {heartbeat_ms}\n\
-             election_ms = [{min_ms}, {max_ms}]\n{}\n{more}\n",
+             election_ms = [{min_ms}, {max_ms}]\n{}\n{more_config}\n",
             n + 1,
             self.data_dir(n).display(),
-            self.extra
+            self.extra_config
         );
-        // `peers` comes first: `more` may contain a table, and keys behind a table would belong to it.
+        // `peers` comes first: `more_config` may contain a table, to which later keys would belong.
         let peers: Vec<String> = self.links[n]
             .iter()
             .enumerate()
@@ -180,14 +180,14 @@
         call(self.front(n), "GET", "/v1/status", &Value::Null).filter(|(s, _)| *s == 200).map(|(_, v)| v)
     }
 
-    /// Waits until a node among `of` reports itself as the leader, and returns it.
+    /// Waits until a node among `candidates` reports itself as the leader, and returns it.
     ///
     /// # Panics
     /// If none does `within` this time.
-    pub fn leader_of(&self, of: &[usize], within: Duration) -> usize {
+    pub fn leader_of(&self, candidates: &[usize], within: Duration) -> usize {
         let deadline = Instant::now() + within;
         loop {
-            for n in of {
+            for n in candidates {
                 if self
                     .status(*n)
                     .is_some_and(|s| s["leader"] == s["node"] && s["age_ms"].as_u64() < Some(500))
@@ -195,7 +195,7 @@
                     return *n;
                 }
             }
-            assert!(Instant::now() < deadline, "no leader among {of:?} within {within:?}");
+            assert!(Instant::now() < deadline, "no leader among {candidates:?} within {within:?}");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
--- a/testbed/src/groups.rs
+++ b/testbed/src/groups.rs
@@ -9,9 +9,9 @@
 
 /// An invalid group expression.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("group `{words}`: {reason}")]
+#[error("group `{expression}`: {reason}")]
 pub struct GroupError {
-    words: String,
+    expression: String,
     reason: &'static str,
 }
 
@@ -62,9 +62,9 @@
     ///
     /// # Errors
     /// If the expression is invalid.
-    pub fn parse(words: &str) -> Result<Self, GroupError> {
-        let bad = |reason| GroupError { words: words.into(), reason };
-        let mut parts = words.split_whitespace().peekable();
+    pub fn parse(expression: &str) -> Result<Self, GroupError> {
+        let bad = |reason| GroupError { expression: expression.into(), reason };
+        let mut parts = expression.split_whitespace().peekable();
         let members = match parts.peek().copied() {
             Some("proxies") => MemberKind::Proxies,
             Some("backends") => MemberKind::Backends,
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -166,7 +166,7 @@
         #[arg(long)]
         proxy_binary: Option<PathBuf>,
     },
-    /// Runs 3 list-service nodes, 8 proxies and 12 backends for 20 s with a crash and a partition, and prints the checks.
+    /// Runs 3 list-service nodes, 8 proxies and 12 backends for 20 s with a crash and a partition.
     Demo {
         /// The directory for the report and the plots.
         #[arg(long, default_value = "target/demo")]
--- a/testbed/src/plots.rs
+++ b/testbed/src/plots.rs
@@ -60,10 +60,10 @@
         let line = chart.draw_series(LineSeries::new(points, color.stroke_width(2)))?;
         line.label(name).legend(move |(x, y)| PathElement::new([(x, y), (x + 15, y)], color));
     }
-    for (n, (at, words)) in report.faults.iter().filter(|(at, _)| *at <= end_s).take(30).enumerate() {
+    for (n, (at, text)) in report.faults.iter().filter(|(at, _)| *at <= end_s).take(30).enumerate() {
         chart.draw_series(LineSeries::new([(*at, 0.0), (*at, top)], BLUE.mix(0.4)))?;
         let height = top * (0.98 - 0.05 * (n % 4) as f64);
-        chart.draw_series([Text::new(words.clone(), (*at, height), ("sans-serif", 11).into_font())])?;
+        chart.draw_series([Text::new(text.clone(), (*at, height), ("sans-serif", 11).into_font())])?;
     }
     chart.configure_series_labels().border_style(BLACK).background_style(WHITE.mix(0.8)).draw()?;
     area.present()?;
--- a/testbed/src/process.rs
+++ b/testbed/src/process.rs
@@ -228,7 +228,7 @@
         let mut child = command.spawn().map_err(StartError::Spawn)?;
         self.children.pids.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push(child.id());
         let stderr = child.stderr.take().expect("stderr is piped");
-        let (lines, log) = mpsc::sync_channel(MAX_LOG_LINES);
+        let (lines, receiver) = mpsc::sync_channel(MAX_LOG_LINES);
         // The log is read to its end, so that the process does not block on a full pipe.
         let reader = std::thread::Builder::new().stack_size(64 << 10).spawn(move || {
             for line in BufReader::new(stderr).lines() {
@@ -238,8 +238,13 @@
             }
         });
         reader.map_err(StartError::Spawn)?;
-        let mut process =
-            Process { child: Some(child), children: self.children.clone(), address: None, log, path };
+        let mut process = Process {
+            child: Some(child),
+            children: self.children.clone(),
+            address: None,
+            log: receiver,
+            path,
+        };
         let deadline = Instant::now() + START_TIMEOUT;
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
--- a/testbed/src/proxy_pool.rs
+++ b/testbed/src/proxy_pool.rs
@@ -138,7 +138,7 @@
                     wait(delay).await;
                     return self.answered(id, &answer, connection);
                 }
-                // The proxy closed the idle connection while the request was sent: it is sent again, on a new connection.
+                // The proxy closed the idle connection meanwhile: the request is sent again, on a new connection.
                 Err(ReadError::Closed) if is_reused => {}
                 Err(_) => return AttemptEnd::Broken,
             }
--- a/testbed/src/run/mod.rs
+++ b/testbed/src/run/mod.rs
@@ -287,8 +287,12 @@
     /// Runs the arrivals and the timeline until all requests have ended.
     fn run_load(&mut self, arrivals: Vec<Arrival>, bar: Option<&ProgressBar>) -> LoadEnd {
         let experiment = self.experiment;
-        let lateness =
-            self.clients.play(self.record.clone(), experiment.clone(), self.direct.clone(), arrivals);
+        let lateness = self.clients.send_arrivals(
+            self.record.clone(),
+            experiment.clone(),
+            self.direct.clone(),
+            arrivals,
+        );
         let longest_deadline = experiment.classes.iter().map(|class| class.hard_limit).fold(0.0, f64::max);
         let last_end = experiment.seconds + longest_deadline + END_TIMEOUT_S;
         let mut end = LoadEnd { lateness: None, is_partial: false, counted_until: experiment.seconds };
--- a/testbed/src/stage.rs
+++ b/testbed/src/stage.rs
@@ -88,8 +88,8 @@
         Ok(backend_loop)
     }
 
-    /// Starts a machine at its index and returns its address. The previous one is killed, or if `previous_drains`, still
-    /// runs under its name until [`BackendLoop::kill`].
+    /// Starts a machine at its index and returns its address. The previous one is killed, or if `previous_drains`,
+    /// still runs under its name until [`BackendLoop::kill`].
     pub fn start_backend(&self, made: Made, previous_drains: bool) -> Option<SocketAddr> {
         let index = made.index;
         let started = self.0.wait(move || async move {
@@ -207,8 +207,8 @@
         });
     }
 
-    /// Sends the arrivals at their times; the receiver gets the lateness, in microseconds, once all requests have ended.
-    pub fn play(
+    /// Sends the arrivals at their times; the receiver gets the lateness in microseconds once all have ended.
+    pub fn send_arrivals(
         &self,
         record: Arc<Record>,
         experiment: Experiment,
@@ -219,7 +219,7 @@
         self.0.spawn(move || async move {
             let Some((front, stop)) = FRONT.with_borrow(Clone::clone) else { return };
             let clients = Rc::new(Clients { record, front, experiment: Rc::new(experiment), direct });
-            let _ = lateness.send(clients.play(arrivals, stop).await);
+            let _ = lateness.send(clients.send_arrivals(arrivals, stop).await);
         });
         receiver
     }
--- a/testbed/syscall-faults/src/interpose.rs
+++ b/testbed/syscall-faults/src/interpose.rs
@@ -156,9 +156,9 @@
         Some(Outcome::Short) => shortened(length),
         _ => length,
     };
-    let none = std::ptr::null::<c_void>();
+    let null = std::ptr::null::<c_void>();
     // SAFETY: the arguments of the caller, or with a smaller length.
-    unsafe { libc::syscall(libc::SYS_recvfrom, fd, buffer, length, flags, none, none) as ssize_t }
+    unsafe { libc::syscall(libc::SYS_recvfrom, fd, buffer, length, flags, null, null) as ssize_t }
 }
 
 /// # Safety
@@ -170,9 +170,9 @@
         Some(Outcome::Short) => shortened(length),
         _ => length,
     };
-    let none = std::ptr::null::<c_void>();
+    let null = std::ptr::null::<c_void>();
     // SAFETY: the arguments of the caller, or with a smaller length.
-    unsafe { libc::syscall(libc::SYS_sendto, fd, buffer, length, flags, none, 0) as ssize_t }
+    unsafe { libc::syscall(libc::SYS_sendto, fd, buffer, length, flags, null, 0) as ssize_t }
 }
 
 /// # Safety
--- a/testbed/syscall-faults/tests/loads.rs
+++ b/testbed/syscall-faults/tests/loads.rs
@@ -94,7 +94,7 @@
     let counted = std::fs::read(&counts).unwrap();
     std::fs::remove_file(&counts).unwrap();
     let counted: Vec<u64> =
-        counted.chunks_exact(8).map(|piece| u64::from_le_bytes(piece.try_into().unwrap())).collect();
+        counted.chunks_exact(8).map(|bytes| u64::from_le_bytes(bytes.try_into().unwrap())).collect();
     assert_eq!(counted[0], 1, "one accept was changed: {counted:?}");
     assert_eq!(counted[6], 0, "the rule does not apply yet: {counted:?}");
     assert!(counted[..6].iter().all(|count| *count > 0), "{counted:?}");
