--- a/testbed/src/client/mod.rs
+++ b/testbed/src/client/mod.rs
@@ -171,7 +171,7 @@
             AttemptEnd::Answered { .. } => Outcome::Failed,
             // The front may not have noticed yet that the proxy is gone: this is not a lost request.
             AttemptEnd::ConnectFailed => Outcome::Died,
-            AttemptEnd::Broken if self.record.was_unreachable(proxy, span) => Outcome::Died,
+            AttemptEnd::Broken if self.record.was_down(proxy, span) => Outcome::Died,
             AttemptEnd::Broken => Outcome::Failed,
         }
     }
--- a/testbed/src/record.rs
+++ b/testbed/src/record.rs
@@ -24,7 +24,7 @@
     Died,
     /// Its client left early.
     Left,
-    /// A proxy that was reachable did not answer it.
+    /// A proxy that was up did not answer it.
     Lost,
 }
 
@@ -113,7 +113,7 @@
     violations: Mutex<Vec<String>>,
     violation_count: AtomicU64,
     /// For each proxy: the spans in which it was dead, stopped or cut off from its clients.
-    unreachable: Mutex<Vec<Vec<[f64; 2]>>>,
+    down: Mutex<Vec<Vec<[f64; 2]>>>,
     next_txn: AtomicU64,
 }
 
@@ -134,7 +134,7 @@
             acknowledged: Mutex::default(),
             violations: Mutex::default(),
             violation_count: AtomicU64::new(0),
-            unreachable: Mutex::new(vec![Vec::new(); proxies]),
+            down: Mutex::new(vec![Vec::new(); proxies]),
             next_txn: AtomicU64::new(1),
         })
     }
@@ -234,40 +234,40 @@
         lock(&self.acknowledged).clone()
     }
 
-    /// Records that a proxy is dead or unreachable from now on.
-    pub fn mark_unreachable(&self, proxy: usize) {
+    /// Records that a proxy is down, that is, dead or unreachable, from now on.
+    pub fn down(&self, proxy: usize) {
         let now = self.now();
-        if let Some(spans) = lock(&self.unreachable).get_mut(proxy)
+        if let Some(spans) = lock(&self.down).get_mut(proxy)
             && spans.last().is_none_or(|[_, end]| end.is_finite())
         {
             spans.push([now, f64::INFINITY]);
         }
     }
 
-    /// Records that a proxy is reachable again.
-    pub fn mark_reachable(&self, proxy: usize) {
+    /// Records that a proxy is up again.
+    pub fn up(&self, proxy: usize) {
         let now = self.now();
-        if let Some([_, end]) = lock(&self.unreachable).get_mut(proxy).and_then(|s| s.last_mut())
+        if let Some([_, end]) = lock(&self.down).get_mut(proxy).and_then(|s| s.last_mut())
             && end.is_infinite()
         {
             *end = now;
         }
     }
 
-    /// Whether a proxy was unreachable, or had just become reachable again, at some time in a span.
-    pub fn was_unreachable(&self, proxy: usize, span: [f64; 2]) -> bool {
+    /// Whether a proxy was down, or had just come up again, at some time in a span.
+    pub fn was_down(&self, proxy: usize, span: [f64; 2]) -> bool {
         const RECOVERY_S: f64 = 0.5;
-        let all = lock(&self.unreachable);
+        let all = lock(&self.down);
         all.get(proxy)
             .is_some_and(|spans| spans.iter().any(|[a, b]| *a <= span[1] && *b + RECOVERY_S >= span[0]))
     }
 
-    /// The ends of all requests. Requests that a reachable proxy did not answer count as lost, and as violations if
-    /// `one_end` is set.
+    /// The ends of all requests. Requests without an answer from a proxy that was up count as lost, and as violations
+    /// if `one_end` is set.
     pub fn ends(&self, one_end: bool) -> Vec<End> {
         let mut ends = lock(&self.ends).clone();
         for broken in lock(&self.broken).iter() {
-            if self.was_unreachable(broken.proxy, broken.span) {
+            if self.was_down(broken.proxy, broken.span) {
                 continue;
             }
             if let Some(end) = ends.get_mut(broken.request) {
--- a/testbed/src/report.rs
+++ b/testbed/src/report.rs
@@ -27,7 +27,7 @@
     pub died: u64,
     /// The client left early.
     pub left: u64,
-    /// A reachable proxy did not answer.
+    /// A proxy that was up did not answer.
     pub lost: u64,
 }
 
@@ -315,7 +315,7 @@
 }
 
 /// The delay from the acknowledgement of each revision to the notification of each proxy, in seconds and sorted, and
-/// the number of notifications that never arrived. Proxies that were unreachable meanwhile do not count.
+/// the number of notifications that never arrived. Proxies that were down meanwhile do not count.
 pub fn lags(record: &Record, proxies: usize) -> (Vec<f64>, usize) {
     let (mut lags, mut never) = (Vec::new(), 0);
     // Revisions from before the load are part of the list that a proxy gets when it starts.
@@ -324,11 +324,11 @@
             match record.told(proxy, revision) {
                 // A notification that arrives before the acknowledgement was read has no delay.
                 Some(notified_at) => {
-                    if !record.was_unreachable(proxy, [at, notified_at]) {
+                    if !record.was_down(proxy, [at, notified_at]) {
                         lags.push((notified_at - at).max(0.0));
                     }
                 }
-                None => never += usize::from(!record.was_unreachable(proxy, [at, record.now()])),
+                None => never += usize::from(!record.was_down(proxy, [at, record.now()])),
             }
         }
     }
--- a/testbed/src/run/faults.rs
+++ b/testbed/src/run/faults.rs
@@ -100,7 +100,7 @@
             if let Target::Proxy(proxy) = target
                 && kind != What::Term
             {
-                self.record.mark_unreachable(*proxy);
+                self.record.down(*proxy);
             }
             self.signal(*target, signal);
         }
@@ -148,7 +148,7 @@
                 (What::Kill | What::Term, target) => self.start(target, now),
                 (What::Stop, Target::Proxy(proxy)) => {
                     self.signal(target, Signal::SIGCONT);
-                    self.record.mark_reachable(proxy);
+                    self.record.up(proxy);
                     self.schedule_in_front(now + self.experiment.load.front_notices, proxy, true);
                 }
                 (What::Stop, Target::Node(_)) => self.signal(target, Signal::SIGCONT),
@@ -216,7 +216,7 @@
         set_direct_address(self.direct.as_ref(), slot, None);
         self.writes.push(move |writer| writer.stop_heartbeats(&id));
         if let Some(sidecar) = self.sidecar_of(slot) {
-            self.record.mark_unreachable(sidecar);
+            self.record.down(sidecar);
             self.proxies[sidecar].process = None;
         }
     }
--- a/testbed/src/run/fleet.rs
+++ b/testbed/src/run/fleet.rs
@@ -223,7 +223,7 @@
         let address = Some(process.address());
         let proxy = &mut self.proxies[number];
         (proxy.process, proxy.address) = (Some(process), address);
-        self.record.mark_reachable(number);
+        self.record.up(number);
         match proxy.sidecar_of {
             Some(slot) => self.backends.set_next_tier_proxy(slot, number, address),
             None => self.clients.with(move |front| front.pools[number].set_address(address)),
--- a/testbed/src/run/link_faults.rs
+++ b/testbed/src/run/link_faults.rs
@@ -55,10 +55,8 @@
             (Target::Clients, Target::Proxy(proxy)) => {
                 let link = effect.at_clients();
                 match link {
-                    ClientLink::Swallow | ClientLink::Reset => self.record.mark_unreachable(proxy),
-                    ClientLink::Pass | ClientLink::Delay(_) | ClientLink::Drop(_) => {
-                        self.record.mark_reachable(proxy)
-                    }
+                    ClientLink::Swallow | ClientLink::Reset => self.record.down(proxy),
+                    ClientLink::Pass | ClientLink::Delay(_) | ClientLink::Drop(_) => self.record.up(proxy),
                 }
                 self.clients.with(move |front| front.pools[proxy].set_link(link));
             }
