--- a/testbed/src/backend.rs
+++ b/testbed/src/backend.rs
@@ -1,10 +1,9 @@
-//! Emulated backends on sockets: the shell around [`Model`]. Each listens on a port of its own, speaks
-//! `PROTOCOL` ("Proxies to backends"), and is driven by two kinds of task on one event loop: one a connection,
-//! and one that lets the model's time pass.
+//! Emulated backends on sockets: the I/O around [`Model`]. Each backend listens on its own port and speaks `PROTOCOL`
+//! ("Proxies to backends"). On its event loop runs one task per connection, and one that advances the model's time.
 
 use crate::http::{Conn, Message, ReadError, answer};
 use crate::links::abort;
-use crate::model::{Done, Kind, Model, Turned};
+use crate::model::{Done, Kind, Model, Rejection};
 use crate::proxy_pool::ProxyPool;
 use crate::record::{Record, Sent};
 use crate::spec::{Class, Effect, Tier};
@@ -20,45 +19,45 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, oneshot, watch};
 
-/// Work of a probe, in seconds of the yardstick (brief: 0.093 to 0.19 ms).
-const PROBE_WORK: f64 = 0.000_14;
-/// Most keys that a cell remembers.
-const MOST_KEYS: usize = 200_000;
+/// The work of a probe, in seconds of a core of speed 1 (brief: 0.093 to 0.19 ms).
+const PROBE_WORK_S: f64 = 0.000_14;
+/// The number of stored idempotency keys from which expired ones are removed.
+const KEY_CLEANUP_THRESHOLD: usize = 200_000;
 
-/// What a link between proxies and a backend does, by proxy.
+/// A fault of the link between one proxy and a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkFault {
-    /// Answers come, and requests arrive, this much later.
+    /// Requests and answers are delayed by this many seconds.
     Delay(f64),
-    /// Requests are swallowed.
+    /// Requests are lost, and connections stay open.
     SwallowRequests,
-    /// Requests run, and their answers are swallowed.
+    /// Requests run, and their answers are lost.
     SwallowAnswers,
-    /// Connections are reset when a request comes on them.
+    /// Connections are reset when a request arrives on them.
     Reset,
-    /// One in so many requests finds its connection reset.
+    /// The connection of one in this many requests is reset.
     Drop(u64),
 }
 
-/// What backends of one run share.
-pub struct World {
-    /// The run's record.
+/// The state that all backends of a run share.
+pub struct SharedState {
+    /// The record of the run.
     pub record: Arc<Record>,
-    /// Kinds of request, in the order of the experiment.
+    /// The request classes, in the order of the experiment.
     pub classes: Vec<Class>,
-    /// Later tiers.
+    /// The tiers after the first.
     pub tiers: Vec<Tier>,
-    /// Each backend's requests in flight, for the lab's own dealer.
+    /// The requests in flight at each backend, for the testbed's baseline policies.
     pub in_flight: Arc<Vec<AtomicUsize>>,
-    /// For each cell, keys seen and when.
+    /// When the current window of each idempotency key began in its failure domain, in seconds of the run.
     keys: RefCell<HashMap<(u32, String), f64>>,
-    /// Faults of links, by proxy and backend.
+    /// The faults of links, by proxy and backend.
     links: RefCell<HashMap<(usize, usize), LinkFault>>,
-    jobs: Cell<u64>,
+    next_job: Cell<u64>,
 }
 
-impl World {
-    /// A world for `backends` backends.
+impl SharedState {
+    /// The shared state of a run without link faults.
     pub fn new(
         record: Arc<Record>,
         classes: Vec<Class>,
@@ -72,12 +71,12 @@
             in_flight,
             keys: RefCell::default(),
             links: RefCell::default(),
-            jobs: Cell::new(0),
+            next_job: Cell::new(0),
         })
     }
 
-    /// Puts a fault on the link between a proxy and a backend, or lifts it.
-    pub fn link(&self, proxy: usize, backend: usize, fault: Option<LinkFault>) {
+    /// Sets the fault of the link between a proxy and a backend; `None` lifts it.
+    pub fn set_link(&self, proxy: usize, backend: usize, fault: Option<LinkFault>) {
         let mut links = self.links.borrow_mut();
         match fault {
             Some(fault) => drop(links.insert((proxy, backend), fault)),
@@ -85,146 +84,146 @@
         }
     }
 
-    /// Whether a cell has seen a key within its window; if not, it has now.
-    fn repeats(&self, cell: u32, key: &str, window: f64) -> bool {
+    /// Whether a failure domain received this key within `window` seconds; if not, the key is stored.
+    fn is_repeat(&self, failure_domain: u32, key: &str, window: f64) -> bool {
         let now = self.record.now();
         let mut keys = self.keys.borrow_mut();
-        if keys.len() >= MOST_KEYS {
+        if keys.len() >= KEY_CLEANUP_THRESHOLD {
             keys.retain(|_, seen| now - *seen < window);
         }
-        match keys.get(&(cell, key.to_string())) {
+        match keys.get(&(failure_domain, key.to_string())) {
             Some(seen) if now - *seen < window => true,
             _ => {
-                keys.insert((cell, key.to_string()), now);
+                keys.insert((failure_domain, key.to_string()), now);
                 false
             }
         }
     }
 }
 
-/// Faults of one backend, set from the timeline.
+/// The active faults of one backend, set by the timeline.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ills {
-    /// The part of requests that fail at once.
-    pub fail_fast: f64,
-    /// Its load reports come this many seconds late.
-    pub late_reports: f64,
-    /// Its load reports say that it is idle.
-    pub lying: bool,
-    /// It falls silent: it takes connections and answers nothing.
-    pub silent: bool,
+pub struct ActiveFaults {
+    /// The fraction of requests that fail at once.
+    pub failure_share: f64,
+    /// The delay of its load reports, in seconds.
+    pub report_delay_s: f64,
+    /// Whether its load reports always claim that it is idle.
+    pub reports_idle: bool,
+    /// Whether it is unresponsive: it accepts connections and answers nothing.
+    pub is_unresponsive: bool,
 }
 
-/// One emulated backend. All its tasks run on one loop.
+/// One emulated backend. All its tasks run on one event loop.
 pub struct Backend {
-    /// Its place among the run's backends.
+    /// Its index among the run's backends.
     pub index: usize,
-    /// Its name in the list; a new one for each machine in its place.
+    /// Its name in the list; each machine that replaces another has a new one.
     pub id: String,
     /// Its zone.
     pub zone: String,
-    /// Its cell.
-    pub cell: u32,
+    /// Its failure domain.
+    pub failure_domain: u32,
     /// Its tier, from 0.
     pub tier: usize,
     /// Its kind.
     pub kind: Kind,
-    world: Rc<World>,
+    shared: Rc<SharedState>,
     model: RefCell<Model>,
     wake: Notify,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Done>>>,
-    open: Cell<usize>,
-    ills: Cell<Ills>,
-    /// Reports made and when, oldest first.
+    pending: RefCell<HashMap<u64, oneshot::Sender<Done>>>,
+    open_connections: Cell<usize>,
+    faults: Cell<ActiveFaults>,
+    /// Load reports with the time at which each was made, in seconds of the run; oldest first.
     reports: RefCell<VecDeque<(f64, String)>>,
-    errors: Cell<u32>,
-    report_every: f64,
+    error_count: Cell<u32>,
+    report_interval_s: f64,
     rng: RefCell<SmallRng>,
     sent: RefCell<Sent>,
-    /// How many revision-counted drains it was told: the revision of its drain, once it drains.
-    drained: Cell<Option<u64>>,
-    /// Its own proxy, where it calls a next tier.
-    next: RefCell<Option<Rc<ProxyPool>>>,
+    /// The list revision that announced its drain, once it drains.
+    drain_revision: Cell<Option<u64>>,
+    /// Its sidecar proxy, if it calls a next tier.
+    next_tier_proxy: RefCell<Option<Rc<ProxyPool>>>,
     dead: watch::Sender<bool>,
     address: Cell<Option<SocketAddr>>,
 }
 
-/// What makes a backend.
+/// The configuration of a backend.
 #[derive(Clone, Debug)]
-pub struct Made {
-    /// Its place among the run's backends.
+pub struct BackendConfig {
+    /// Its index among the run's backends.
     pub index: usize,
     /// Its name in the list.
     pub id: String,
     /// Its zone.
     pub zone: String,
-    /// Its cell.
-    pub cell: u32,
-    /// Its tier.
+    /// Its failure domain.
+    pub failure_domain: u32,
+    /// Its tier, from 0.
     pub tier: usize,
     /// Its kind.
     pub kind: Kind,
-    /// Each core's speed.
+    /// The speed of each core.
     pub speed: f64,
-    /// Whether it starts cold.
+    /// Whether it has just started, and is in slow start.
     pub cold: bool,
-    /// For its random choices.
+    /// The seed of its random choices.
     pub seed: u64,
-    /// The port it has, where it returns to one; else 0.
+    /// The port to listen on; 0 for any free port.
     pub port: u16,
 }
 
 impl Backend {
-    /// Starts one on a loopback port; its tasks go on until [`Backend::kill`].
+    /// Starts a backend on a loopback port; its tasks run until [`Backend::kill`].
     ///
     /// # Errors
-    /// Where the port can't be had.
-    pub async fn start(world: Rc<World>, made: Made) -> std::io::Result<Rc<Self>> {
-        let listener = TcpListener::bind(("127.0.0.1", made.port)).await?;
+    /// If the port is not available.
+    pub async fn start(shared: Rc<SharedState>, config: BackendConfig) -> std::io::Result<Rc<Self>> {
+        let listener = TcpListener::bind(("127.0.0.1", config.port)).await?;
         let address = listener.local_addr()?;
-        let mut rng = SmallRng::seed_from_u64(made.seed);
-        let [fast, slow] = made.kind.report_ms;
-        let now = world.record.now();
+        let mut rng = SmallRng::seed_from_u64(config.seed);
+        let [fast, slow] = config.kind.report_ms;
+        let now = shared.record.now();
         let backend = Rc::new(Self {
-            index: made.index,
-            id: made.id,
-            zone: made.zone,
-            cell: made.cell,
-            tier: made.tier,
-            model: RefCell::new(Model::new(made.kind.clone(), made.speed, now, made.cold)),
-            kind: made.kind,
-            world,
+            index: config.index,
+            id: config.id,
+            zone: config.zone,
+            failure_domain: config.failure_domain,
+            tier: config.tier,
+            model: RefCell::new(Model::new(config.kind.clone(), config.speed, now, config.cold)),
+            kind: config.kind,
+            shared,
             wake: Notify::new(),
-            waiting: RefCell::default(),
-            open: Cell::new(0),
-            ills: Cell::default(),
+            pending: RefCell::default(),
+            open_connections: Cell::new(0),
+            faults: Cell::default(),
             reports: RefCell::default(),
-            errors: Cell::new(0),
-            report_every: rng.random_range(fast..=slow.max(fast)) / 1e3,
+            error_count: Cell::new(0),
+            report_interval_s: rng.random_range(fast..=slow.max(fast)) / 1e3,
             rng: RefCell::new(rng),
             sent: RefCell::default(),
-            drained: Cell::new(None),
-            next: RefCell::default(),
+            drain_revision: Cell::new(None),
+            next_tier_proxy: RefCell::default(),
             dead: watch::channel(false).0,
             address: Cell::new(Some(address)),
         });
         tokio::task::spawn_local(backend.clone().accept(listener));
-        tokio::task::spawn_local(backend.clone().drive());
-        tokio::task::spawn_local(backend.clone().report());
+        tokio::task::spawn_local(backend.clone().run_model());
+        tokio::task::spawn_local(backend.clone().make_reports());
         Ok(backend)
     }
 
-    /// Where it listens.
+    /// The address on which it listens; `None` after [`Backend::kill`].
     pub fn address(&self) -> Option<SocketAddr> {
         self.address.get()
     }
 
-    /// It dies: connections are reset, new ones refused, and what ran is gone.
+    /// Stops it as a crash does: connections are reset, new ones are refused, and requests in flight are lost.
     pub fn kill(&self) {
         self.dead.send_replace(true);
         self.address.set(None);
-        self.waiting.borrow_mut().clear();
-        self.world.in_flight[self.index].store(0, Ordering::Relaxed);
+        self.pending.borrow_mut().clear();
+        self.shared.in_flight[self.index].store(0, Ordering::Relaxed);
     }
 
     /// Whether it has been killed.
@@ -232,43 +231,43 @@
         *self.dead.borrow()
     }
 
-    /// It calls the next tier through this proxy.
-    pub fn calls_through(&self, pool: Rc<ProxyPool>) {
-        *self.next.borrow_mut() = Some(pool);
+    /// Sets the proxy through which it calls the next tier.
+    pub fn set_next_tier_proxy(&self, pool: Rc<ProxyPool>) {
+        *self.next_tier_proxy.borrow_mut() = Some(pool);
     }
 
-    /// Changes its model, at the time that it is.
-    pub fn change(&self, change: impl FnOnce(&mut Model)) {
-        self.pass();
+    /// Advances its model to the current time and changes it.
+    pub fn change_model(&self, change: impl FnOnce(&mut Model)) {
+        self.advance_model();
         change(&mut self.model.borrow_mut());
         self.wake.notify_one();
     }
 
-    /// Changes its ills.
-    pub fn ail(&self, change: impl FnOnce(&mut Ills)) {
-        let mut ills = self.ills.get();
-        change(&mut ills);
-        self.ills.set(ills);
+    /// Changes its active faults.
+    pub fn change_faults(&self, change: impl FnOnce(&mut ActiveFaults)) {
+        let mut faults = self.faults.get();
+        change(&mut faults);
+        self.faults.set(faults);
     }
 
-    /// It drains, as the list says since this revision.
-    pub fn drains_since(&self, revision: u64) {
-        self.drained.set(Some(revision));
+    /// Sets the list revision that announced its drain.
+    pub fn set_drain_revision(&self, revision: u64) {
+        self.drain_revision.set(Some(revision));
     }
 
-    /// What it was sent so far, and whether it has fallen over.
+    /// The load that it received so far, and whether it has failed under load while cold.
     pub fn sent(&self) -> (Sent, bool) {
         (self.sent.borrow().clone(), self.model.borrow().fallen)
     }
 
-    /// Its speed when nothing slows it.
+    /// The speed of its cores without slowdowns.
     pub fn speed(&self) -> f64 {
         self.model.borrow().speed()
     }
 
-    /// It is listed from now on, or not any more.
-    pub fn listed(&self, listed: bool) {
-        let (now, mut sent) = (self.world.record.now(), self.sent.borrow_mut());
+    /// Records that it is listed from now on, or no longer.
+    pub fn set_listed(&self, listed: bool) {
+        let (now, mut sent) = (self.shared.record.now(), self.sent.borrow_mut());
         match (listed, sent.listed.last_mut()) {
             (true, Some([_, end])) if end.is_infinite() => {}
             (true, _) => sent.listed.push([now, f64::INFINITY]),
@@ -277,48 +276,48 @@
         }
     }
 
-    /// Lets the model's time pass up to now, and tells those whose work has ended.
-    fn pass(&self) {
+    /// Advances the model to the current time, and notifies the tasks whose work has ended.
+    fn advance_model(&self) {
         let (mut done, was_fallen) = (Vec::new(), self.model.borrow().fallen);
-        self.model.borrow_mut().advance(self.world.record.now(), &mut done);
+        self.model.borrow_mut().advance(self.shared.record.now(), &mut done);
         if !was_fallen && self.model.borrow().fallen {
-            let (id, cold) = (self.id.clone(), self.kind.fall_multiple);
-            self.world
-                .record
-                .violation(|| format!("cold backend {id} was sent over {cold} times what it can do"));
+            let (id, max_multiple) = (self.id.clone(), self.kind.fall_multiple);
+            self.shared.record.violation(|| {
+                format!("cold backend {id} was sent more than {max_multiple} times its capacity")
+            });
         }
-        let mut waiting = self.waiting.borrow_mut();
+        let mut pending = self.pending.borrow_mut();
         for done in done {
-            if let Some(waits) = waiting.remove(&done.job) {
-                let _ = waits.send(done);
+            if let Some(sender) = pending.remove(&done.job) {
+                let _ = sender.send(done);
             }
         }
-        self.world.in_flight[self.index].store(self.model.borrow().in_flight(), Ordering::Relaxed);
+        self.shared.in_flight[self.index].store(self.model.borrow().in_flight(), Ordering::Relaxed);
     }
 
-    async fn drive(self: Rc<Self>) {
+    async fn run_model(self: Rc<Self>) {
         let mut dead = self.dead.subscribe();
         while !*dead.borrow_and_update() {
-            let next = self.model.borrow().next();
-            let wait = Duration::from_secs_f64((next - self.world.record.now()).clamp(0.0, 1.0));
+            let next_event_at = self.model.borrow().next_event_at();
+            let wait = Duration::from_secs_f64((next_event_at - self.shared.record.now()).clamp(0.0, 1.0));
             tokio::select! {
                 () = tokio::time::sleep(wait) => {}
                 () = self.wake.notified() => {}
                 _ = dead.changed() => return,
             }
-            self.pass();
+            self.advance_model();
         }
     }
 
-    /// Makes a load report anew each `report_every`.
-    async fn report(self: Rc<Self>) {
+    /// Makes a load report in each `report_interval_s`.
+    async fn make_reports(self: Rc<Self>) {
         let mut dead = self.dead.subscribe();
         loop {
-            let now = self.world.record.now();
+            let now = self.shared.record.now();
             let text = {
                 let model = self.model.borrow();
-                let eps = f64::from(self.errors.replace(0)) / self.report_every;
-                match self.ills.get().lying {
+                let eps = f64::from(self.error_count.replace(0)) / self.report_interval_s;
+                match self.faults.get().reports_idle {
                     true => "{\"inflight\":0,\"queue\":0,\"eps\":0.0}".to_string(),
                     false => format!(
                         "{{\"inflight\":{},\"queue\":{},\"eps\":{eps:.2}}}",
@@ -330,19 +329,19 @@
             {
                 let mut reports = self.reports.borrow_mut();
                 reports.push_back((now, text));
-                // The one in force is the latest that is old enough; older ones are no use any more.
-                while reports.len() > 1 && reports[1].0 <= now - self.ills.get().late_reports {
+                // The first is the report in use: the latest one whose delay has passed. Older ones are removed.
+                while reports.len() > 1 && reports[1].0 <= now - self.faults.get().report_delay_s {
                     reports.pop_front();
                 }
             }
             tokio::select! {
-                () = tokio::time::sleep(Duration::from_secs_f64(self.report_every)) => {}
+                () = tokio::time::sleep(Duration::from_secs_f64(self.report_interval_s)) => {}
                 _ = dead.changed() => return,
             }
         }
     }
 
-    fn pressure(&self) -> String {
+    fn pressure_header(&self) -> String {
         let reports = self.reports.borrow();
         reports.front().map_or(String::new(), |(_, text)| format!("X-Pressure: {text}\r\n"))
     }
@@ -357,7 +356,7 @@
             match accepted {
                 Ok((stream, _)) => {
                     let _ = stream.set_nodelay(true);
-                    self.sent.borrow_mut().connection(self.world.record.now());
+                    self.sent.borrow_mut().connection(self.shared.record.now());
                     tokio::task::spawn_local(self.clone().connection(stream));
                 }
                 Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
@@ -366,8 +365,8 @@
     }
 
     async fn connection(self: Rc<Self>, stream: TcpStream) {
-        self.open.set(self.open.get() + 1);
-        let crowded = self.open.get() > self.kind.connections;
+        self.open_connections.set(self.open_connections.get() + 1);
+        let crowded = self.open_connections.get() > self.kind.connections;
         let mut conn = Conn::new(stream);
         let mut dead = self.dead.subscribe();
         let reset = tokio::select! {
@@ -377,10 +376,10 @@
         if reset {
             abort(conn.stream());
         }
-        self.open.set(self.open.get() - 1);
+        self.open_connections.set(self.open_connections.get() - 1);
     }
 
-    /// Serves one connection until it ends; whether it is to be reset.
+    /// Serves one connection until it ends; returns whether to reset it.
     async fn serve(&self, conn: &mut Conn, crowded: bool) -> bool {
         let (idle, mut first) = (Duration::from_secs_f64(self.kind.idle_close), true);
         loop {
@@ -392,37 +391,37 @@
                 }
                 Ok(Err(_)) | Err(_) => return false,
             };
-            if self.ills.get().silent {
+            if self.faults.get().is_unresponsive {
                 std::future::pending::<()>().await;
             }
             let handshake = if first { self.kind.handshake_ms / 1e3 } else { 0.0 };
             first = false;
-            let Some(bytes) = self.one(&message, handshake, crowded).await else { return true };
-            if conn.write(&bytes).await.is_err() || message.closes() || crowded {
+            let Some(bytes) = self.respond(&message, handshake, crowded).await else { return true };
+            if conn.write(&bytes).await.is_err() || message.closes_connection() || crowded {
                 return false;
             }
         }
     }
 
-    /// Answers one request; `None` resets its connection.
-    async fn one(&self, message: &Message, handshake: f64, crowded: bool) -> Option<Vec<u8>> {
+    /// Returns the answer to one request; `None` resets its connection.
+    async fn respond(&self, message: &Message, handshake: f64, crowded: bool) -> Option<Vec<u8>> {
         let (_, target) = message.method_target();
-        let turned = |status, reason: &str| answer(status, reason, "X-Turned-Away: 1\r\n", b"");
+        let rejection = |status, reason: &str| answer(status, reason, "X-Turned-Away: 1\r\n", b"");
         if target.starts_with("/-/") {
-            self.run(PROBE_WORK + handshake, f64::INFINITY).await.ok()?;
-            return Some(answer(200, "OK", &self.pressure(), b"{}"));
+            self.run_work(PROBE_WORK_S + handshake, f64::INFINITY).await.ok()?;
+            return Some(answer(200, "OK", &self.pressure_header(), b"{}"));
         }
         let Some(txn) = message.header("x-txn").and_then(|t| u64::from_str_radix(t, 16).ok()) else {
             return Some(answer(404, "Not Found", "", b""));
         };
-        let record = &self.world.record;
-        let Some(proxy) = record.sender(txn) else {
+        let record = &self.shared.record;
+        let Some(proxy) = record.proxy_of(txn) else {
             record.violation(|| format!("backend {} was sent {txn:016x}, which no client sent", self.id));
             return Some(answer(400, "Bad Request", "", b""));
         };
-        let fault = self.world.links.borrow().get(&(proxy, self.index)).copied();
+        let fault = self.shared.links.borrow().get(&(proxy, self.index)).copied();
         match fault {
-            Some(LinkFault::Delay(by)) => tokio::time::sleep(Duration::from_secs_f64(by)).await,
+            Some(LinkFault::Delay(seconds)) => tokio::time::sleep(Duration::from_secs_f64(seconds)).await,
             Some(LinkFault::SwallowRequests) => std::future::pending().await,
             Some(LinkFault::Reset) => return None,
             Some(LinkFault::Drop(one_in)) if txn.is_multiple_of(one_in.max(1)) => return None,
@@ -430,97 +429,99 @@
         }
         self.check_drain(message, proxy);
         let lane = message.header("x-lane").unwrap_or("");
-        let Some(class) = self.world.classes.iter().find(|c| c.name == lane) else {
+        let Some(class) = self.shared.classes.iter().find(|c| c.name == lane) else {
             return Some(answer(400, "Bad Request", "", b"no such class"));
         };
         let work = target.split_once("w=").and_then(|(_, w)| w.parse::<f64>().ok()).unwrap_or(0.0) / 1e6;
-        let part = if self.tier == 0 { 1.0 } else { self.world.tiers[self.tier - 1].work };
-        let work = work * part;
-        self.sent.borrow_mut().request(record.at(message.began), work);
+        let work_share = if self.tier == 0 { 1.0 } else { self.shared.tiers[self.tier - 1].work };
+        let work = work * work_share;
+        self.sent.borrow_mut().request(record.at(message.started_at), work);
         if crowded {
-            self.sent.borrow_mut().turned += 1;
-            return Some(turned(503, "Too Many Connections"));
+            self.sent.borrow_mut().rejected += 1;
+            return Some(rejection(503, "Too Many Connections"));
         }
-        let left = message.header("x-remaining-ms").and_then(|m| m.parse::<f64>().ok());
-        let left = left.unwrap_or(60_000.0) / 1e3;
-        let fails = self.ills.get().fail_fast;
-        if fails > 0.0 && self.rng.borrow_mut().random_bool(fails.min(1.0)) {
-            self.errors.set(self.errors.get() + 1);
-            return Some(answer(500, "Internal Server Error", &self.pressure(), b""));
+        let time_left = message.header("x-remaining-ms").and_then(|m| m.parse::<f64>().ok());
+        let time_left = time_left.unwrap_or(60_000.0) / 1e3;
+        let failure_share = self.faults.get().failure_share;
+        if failure_share > 0.0 && self.rng.borrow_mut().random_bool(failure_share.min(1.0)) {
+            self.error_count.set(self.error_count.get() + 1);
+            return Some(answer(500, "Internal Server Error", &self.pressure_header(), b""));
         }
         let body = || format!("{txn:016x} served by {}", self.id).into_bytes();
         if class.effect == Effect::Guarded
             && let Some(key) = message.header("idempotency-key")
-            && self.world.repeats(self.cell, key, class.window)
+            && self.shared.is_repeat(self.failure_domain, key, class.window)
         {
-            return Some(answer(200, "OK", &self.pressure(), &body()));
+            return Some(answer(200, "OK", &self.pressure_header(), &body()));
         }
-        let until = record.now() + left;
-        let run = self.run(work + handshake, until).await;
-        let done = match run {
+        let deadline = record.now() + time_left;
+        let result = self.run_work(work + handshake, deadline).await;
+        let done = match result {
             Ok(done) => done,
-            Err(why) => {
-                self.sent.borrow_mut().turned += 1;
-                return match why {
-                    Some(Turned::Down) | None => None,
-                    Some(Turned::Full | Turned::Draining) => Some(turned(503, "Service Unavailable")),
+            Err(reason) => {
+                self.sent.borrow_mut().rejected += 1;
+                return match reason {
+                    Some(Rejection::Down) | None => None,
+                    Some(Rejection::Full | Rejection::Draining) => {
+                        Some(rejection(503, "Service Unavailable"))
+                    }
                 };
             }
         };
         if done.expired {
-            return Some(turned(504, "Gateway Timeout"));
+            return Some(rejection(504, "Gateway Timeout"));
         }
         if class.effect == Effect::SingleShot {
-            record.runs(txn);
+            record.record_execution(txn);
         }
-        if !self.call_next(message, class, until).await {
-            self.errors.set(self.errors.get() + 1);
-            return Some(answer(500, "Internal Server Error", &self.pressure(), b""));
+        if !self.call_next_tier(message, class, deadline).await {
+            self.error_count.set(self.error_count.get() + 1);
+            return Some(answer(500, "Internal Server Error", &self.pressure_header(), b""));
         }
         match fault {
-            Some(LinkFault::Delay(by)) => tokio::time::sleep(Duration::from_secs_f64(by)).await,
+            Some(LinkFault::Delay(seconds)) => tokio::time::sleep(Duration::from_secs_f64(seconds)).await,
             Some(LinkFault::SwallowAnswers) => std::future::pending().await,
             _ => {}
         }
-        Some(answer(200, "OK", &self.pressure(), &body()))
+        Some(answer(200, "OK", &self.pressure_header(), &body()))
     }
 
-    /// Has the model do work: how it ended, or why it was turned away (`None`: the backend died under it).
-    async fn run(&self, work: f64, until: f64) -> Result<Done, Option<Turned>> {
-        self.pass();
-        let job = self.world.jobs.get();
-        self.world.jobs.set(job + 1);
-        self.model.borrow_mut().arrive(job, work, until).map_err(Some)?;
-        self.world.in_flight[self.index].store(self.model.borrow().in_flight(), Ordering::Relaxed);
-        let (tell, done) = oneshot::channel();
-        self.waiting.borrow_mut().insert(job, tell);
+    /// Runs work on the model; returns its end, or why it was rejected (`None`: the backend was killed meanwhile).
+    async fn run_work(&self, work: f64, deadline: f64) -> Result<Done, Option<Rejection>> {
+        self.advance_model();
+        let job = self.shared.next_job.get();
+        self.shared.next_job.set(job + 1);
+        self.model.borrow_mut().arrive(job, work, deadline).map_err(Some)?;
+        self.shared.in_flight[self.index].store(self.model.borrow().in_flight(), Ordering::Relaxed);
+        let (sender, done) = oneshot::channel();
+        self.pending.borrow_mut().insert(job, sender);
         self.wake.notify_one();
         done.await.map_err(|_| None)
     }
 
-    /// Nothing new may come after a told drain and its grace.
+    /// Records a violation if a request began later than the grace period after its proxy was notified of the drain.
     fn check_drain(&self, message: &Message, proxy: usize) {
-        let Some(revision) = self.drained.get() else { return };
-        let record = &self.world.record;
-        let grace = DRAIN_GRACE.get() / 1e3;
-        let Some(told) = record.told(proxy, revision).filter(|_| grace > 0.0) else { return };
-        let late = record.at(message.began) - told;
-        if late > grace {
+        let Some(revision) = self.drain_revision.get() else { return };
+        let record = &self.shared.record;
+        let grace = DRAIN_GRACE_MS.get() / 1e3;
+        let Some(notified_at) = record.notified_at(proxy, revision).filter(|_| grace > 0.0) else { return };
+        let delay = record.at(message.started_at) - notified_at;
+        if delay > grace {
             let id = &self.id;
             record.violation(|| {
-                format!("proxy {proxy} sent to {id} {late:.3} s after it was told that it drains")
+                format!("proxy {proxy} sent to {id} {delay:.3} s after it was notified of its drain")
             });
         }
     }
 
-    /// Calls the next tier, as often as the class's requests do, through this backend's own proxy.
-    async fn call_next(&self, message: &Message, class: &Class, until: f64) -> bool {
-        let pool = self.next.borrow().clone();
-        let (Some(pool), Some(tier)) = (pool, self.world.tiers.get(self.tier)) else { return true };
-        let more = self.rng.borrow_mut().random_bool(tier.calls.fract());
-        for call in 0..tier.calls as usize + usize::from(more) {
-            let left = until - self.world.record.now();
-            if left <= 0.0 || !pool.call_next_tier(message, class, call, left).await {
+    /// Makes the tier's calls to the next tier through this backend's sidecar; returns whether all were served.
+    async fn call_next_tier(&self, message: &Message, class: &Class, deadline: f64) -> bool {
+        let pool = self.next_tier_proxy.borrow().clone();
+        let (Some(pool), Some(tier)) = (pool, self.shared.tiers.get(self.tier)) else { return true };
+        let has_extra_call = self.rng.borrow_mut().random_bool(tier.calls.fract());
+        for call in 0..tier.calls as usize + usize::from(has_extra_call) {
+            let time_left = deadline - self.shared.record.now();
+            if time_left <= 0.0 || !pool.send_nested_call(message, class, call, time_left).await {
                 return false;
             }
         }
@@ -529,6 +530,6 @@
 }
 
 thread_local! {
-    /// The grace of a told drain, in milliseconds, for the backends of this loop; 0: not checked.
-    pub static DRAIN_GRACE: Cell<f64> = const { Cell::new(0.0) };
+    /// The grace period of drains for the backends of this loop, in milliseconds; 0: not checked.
+    pub static DRAIN_GRACE_MS: Cell<f64> = const { Cell::new(0.0) };
 }
--- a/testbed/src/client/direct.rs
+++ b/testbed/src/client/direct.rs
@@ -1,6 +1,6 @@
 //! Load balancing without proxies, for experiments with a baseline policy: the testbed itself selects a backend.
 
-use crate::spec::Dealer;
+use crate::spec::BalancingPolicy;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -9,7 +9,7 @@
 #[derive(Clone)]
 pub struct Direct {
     /// The policy.
-    pub dealer: Dealer,
+    pub policy: BalancingPolicy,
     /// The address (packed, 0: not listed), weight and speed of each backend.
     pub backends: Arc<Vec<(AtomicU64, f64, f64)>>,
     /// The requests in flight at each backend.
@@ -37,8 +37,10 @@
     pub(super) fn pick(&self, position: f64) -> Option<SocketAddr> {
         let addresses = self.backends.iter().map(|(address, ..)| address.load(Ordering::Relaxed));
         let listed: Vec<(usize, u64)> = addresses.enumerate().filter(|(_, address)| *address != 0).collect();
-        let chosen = match self.dealer {
-            Dealer::Least => listed.iter().min_by(|a, b| self.load(a.0).total_cmp(&self.load(b.0))),
+        let chosen = match self.policy {
+            BalancingPolicy::LeastLoaded => {
+                listed.iter().min_by(|a, b| self.load(a.0).total_cmp(&self.load(b.0)))
+            }
             _ => self.pick_by_capacity(&listed, position),
         };
         let (backend, address) = *chosen.or(listed.last())?;
--- a/testbed/src/client/front.rs
+++ b/testbed/src/client/front.rs
@@ -1,23 +1,23 @@
-//! The front of a run: the load balancer before the proxies, which spreads requests over those that it believes alive.
+//! The load balancer of a run, in front of the proxies, which spreads requests over those that it believes alive.
 
 use crate::proxy_pool::ProxyPool;
-use crate::spec::Deals;
+use crate::spec::BalancingUnit;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The front: the proxies that it believes alive, and the share of the traffic of each.
-pub struct Front {
+/// The load balancer: the proxies that it believes alive, and the share of the traffic of each.
+pub struct LoadBalancer {
     /// The connections to each proxy.
     pub pools: Vec<Rc<ProxyPool>>,
     alive: RefCell<Vec<bool>>,
     shares: Vec<f64>,
 }
 
-impl Front {
-    /// A front for these proxies, `alive` or not, with these shares of the traffic.
+impl LoadBalancer {
+    /// A load balancer for these proxies, `alive` or not, with these shares of the traffic.
     pub fn new(pools: Vec<Rc<ProxyPool>>, alive: Vec<bool>, shares: Vec<f64>) -> Rc<Self> {
         Rc::new(Self { pools, alive: RefCell::new(alive), shares })
     }
@@ -27,10 +27,10 @@
         self.alive.borrow_mut()[proxy] = alive;
     }
 
-    /// Selects a proxy by `position` in [0, 1): by the idle connections if `spread` is [`Deals::Connections`] and there
-    /// are any, else among the proxies that are alive, by their shares.
-    pub(super) fn pick(&self, position: f64, spread: Deals) -> Option<Rc<ProxyPool>> {
-        let by_connection = if spread == Deals::Connections { self.pick_idle(position) } else { None };
+    /// Selects a proxy by `position` in [0, 1): by the idle connections if `unit` is [`BalancingUnit::Connections`] and
+    /// there are any, else among the proxies that are alive, by their shares.
+    pub(super) fn pick(&self, position: f64, unit: BalancingUnit) -> Option<Rc<ProxyPool>> {
+        let by_connection = if unit == BalancingUnit::Connections { self.pick_idle(position) } else { None };
         by_connection.or_else(|| self.pick_by_share(position))
     }
 
--- a/testbed/src/client/mod.rs
+++ b/testbed/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! Emulated clients: they send the arrivals of a run at their times, through the front or directly, retry, and leave early.
+//! Emulated clients: they send the arrivals of a run at their times, through the load balancer or directly, retry, and
+//! leave early.
 //!
 //! A request's latency is measured from its due time, not from the time at which the testbed sent it, so that neither
 //! a slow fleet nor a late testbed hides latency (no coordinated omission). The testbed's own lateness is reported as
@@ -10,7 +11,7 @@
 
 pub use arrivals::{Arrival, arrivals};
 pub use direct::{Direct, packed};
-pub use front::{Front, shares};
+pub use front::{LoadBalancer, shares};
 
 use crate::proxy_pool::{AttemptEnd, ProxyPool, RequestText};
 use crate::record::{End, Outcome, Record};
@@ -35,8 +36,8 @@
 pub struct Clients {
     /// The record of the run.
     pub record: Arc<Record>,
-    /// The front.
-    pub front: Rc<Front>,
+    /// The load balancer.
+    pub balancer: Rc<LoadBalancer>,
     /// The experiment.
     pub experiment: Rc<Experiment>,
     /// The direct connection to backends, in experiments without proxies.
@@ -124,7 +125,9 @@
         let mut attempts = 0;
         let mut position = arrival.position;
         loop {
-            let Some(pool) = self.front.pick(position, load.deals) else { return (Outcome::Died, attempts) };
+            let Some(pool) = self.balancer.pick(position, load.balances) else {
+                return (Outcome::Died, attempts);
+            };
             attempts += 1;
             let sent_at = self.record.now();
             let text = self.text(number, arrival, attempts > 1);
@@ -169,7 +172,7 @@
             }
             AttemptEnd::Answered { status: 429 | 503, .. } => Outcome::Refused,
             AttemptEnd::Answered { .. } => Outcome::Failed,
-            // The front may not have noticed yet that the proxy is gone: this is not a lost request.
+            // The load balancer may not have noticed yet that the proxy is gone: this is not a lost request.
             AttemptEnd::ConnectFailed => Outcome::Died,
             AttemptEnd::Broken if self.record.was_down(proxy, span) => Outcome::Died,
             AttemptEnd::Broken => Outcome::Failed,
--- a/testbed/src/fake.rs
+++ b/testbed/src/fake.rs
@@ -131,7 +131,7 @@
                 let mut seen = shared.seen();
                 let full = seen.len() >= MAX_RECORDED;
                 if !full {
-                    seen.push(RecordedRequest { at: message.began, txn, lane });
+                    seen.push(RecordedRequest { at: message.started_at, txn, lane });
                 }
                 full
             };
--- a/testbed/src/groups.rs
+++ b/testbed/src/groups.rs
@@ -18,7 +18,7 @@
 /// The kind of members of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberKind {
-    /// The front proxies that run from the start.
+    /// The proxies of clients that run from the start.
     Proxies,
     /// Backends.
     Backends,
--- a/testbed/src/http.rs
+++ b/testbed/src/http.rs
@@ -36,7 +36,7 @@
     /// The body.
     pub body: Vec<u8>,
     /// When its first byte was read; checks of draining use this time.
-    pub began: Instant,
+    pub started_at: Instant,
 }
 
 impl Message {
@@ -57,7 +57,7 @@
     }
 
     /// Whether its sender closes the connection after it.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         self.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"))
     }
 }
@@ -91,7 +91,7 @@
     if stream.fill_buf().map_err(|_| ReadError::Broken)?.is_empty() {
         return Err(ReadError::Closed);
     }
-    let (began, mut head) = (Instant::now(), Vec::new());
+    let (started_at, mut head) = (Instant::now(), Vec::new());
     while !head.ends_with(b"\r\n\r\n") {
         let remaining = (MAX_HEAD_BYTES - head.len()) as u64;
         match stream.by_ref().take(remaining).read_until(b'\n', &mut head) {
@@ -103,20 +103,20 @@
     let (first, headers, length) = parse_head(&head[..head.len() - 4])?;
     let mut body = vec![0; length];
     stream.read_exact(&mut body).map_err(|_| ReadError::Broken)?;
-    Ok(Message { first, headers, body, began })
+    Ok(Message { first, headers, body, started_at })
 }
 
 /// A connection and the bytes already read of the next message.
 pub struct Conn<S = TcpStream> {
     stream: S,
     buffer: Vec<u8>,
-    began: Option<Instant>,
+    message_started_at: Option<Instant>,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Conn<S> {
     /// Creates one from a connected stream.
     pub fn new(stream: S) -> Self {
-        Self { stream, buffer: Vec::new(), began: None }
+        Self { stream, buffer: Vec::new(), message_started_at: None }
     }
 
     /// The underlying stream.
@@ -143,7 +143,7 @@
                 Ok(0) if self.buffer.is_empty() => return Err(ReadError::Closed),
                 Ok(0) | Err(_) => return Err(ReadError::Broken),
                 Ok(n) => {
-                    self.began.get_or_insert_with(Instant::now);
+                    self.message_started_at.get_or_insert_with(Instant::now);
                     self.buffer.extend_from_slice(&chunk[..n]);
                 }
             }
@@ -163,9 +163,9 @@
         }
         let body = self.buffer[end + 4..message_end].to_vec();
         self.buffer.drain(..message_end);
-        let began = self.began.take().unwrap_or_else(Instant::now);
-        self.began = (!self.buffer.is_empty()).then(Instant::now);
-        Ok(Some(Message { first, headers, body, began }))
+        let started_at = self.message_started_at.take().unwrap_or_else(Instant::now);
+        self.message_started_at = (!self.buffer.is_empty()).then(Instant::now);
+        Ok(Some(Message { first, headers, body, started_at }))
     }
 
     /// Writes all bytes.
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -19,7 +19,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 /// Maximum number of broken rules printed per run, besides the last one.
-const MAX_BREAKS_SHOWN: usize = 12;
+const MAX_VIOLATIONS_SHOWN: usize = 12;
 /// The experiment of the demo.
 const DEMO: &str = include_str!("../experiments/demo.toml");
 
@@ -222,7 +222,7 @@
         }
         Command::Soak { file, seed, runs, replay, no_shrink, out, proxy_binary } => {
             let program = proxy_binary.unwrap_or_else(default_program);
-            soak(&SoakOptions { file, seed, runs, replay, shrinks: !no_shrink, out, program }, &stop)
+            soak(&SoakOptions { file, seed, runs, replay, shrink_failures: !no_shrink, out, program }, &stop)
         }
         Command::Demo { out, proxy_binary } => demo(options(proxy_binary, 1, Some(out), &stop)),
     };
@@ -246,7 +246,7 @@
 }
 
 fn exit_code(report: &Report) -> u8 {
-    match (report.violations_count, report.lab.trusted) {
+    match (report.violations_count, report.testbed.trusted) {
         (0, true) => 0,
         (0, false) => 3,
         _ => 1,
@@ -357,7 +357,7 @@
     seed: u64,
     runs: u64,
     replay: Option<PathBuf>,
-    shrinks: bool,
+    shrink_failures: bool,
     out: PathBuf,
     program: PathBuf,
 }
@@ -390,8 +390,8 @@
             result.violations.len()
         );
         // The first broken rules, and the last one, which may summarize them.
-        let shown = result.violations.iter().take(MAX_BREAKS_SHOWN);
-        for broken in shown.chain(result.violations.iter().skip(MAX_BREAKS_SHOWN).last()) {
+        let shown = result.violations.iter().take(MAX_VIOLATIONS_SHOWN);
+        for broken in shown.chain(result.violations.iter().skip(MAX_VIOLATIONS_SHOWN).last()) {
             println!("  {}: {}", broken.rule, broken.description);
         }
         if result.violations.is_empty() {
@@ -399,8 +399,11 @@
         }
         failed += 1;
         let path = options.out.join(format!("seed-{}.toml", plan.seed));
-        let saved =
-            if options.shrinks && options.replay.is_none() { shrunk(plan, options) } else { plan.clone() };
+        let saved = if options.shrink_failures && options.replay.is_none() {
+            shrunk(plan, options)
+        } else {
+            plan.clone()
+        };
         play::save(&saved, &path)?;
         println!("  plan: {} with {} faults", path.display(), saved.faults.len());
     }
@@ -422,9 +425,9 @@
     let report = run::run(&experiment, &options).map_err(|e| e.to_string())?;
     print!("{}", report.text());
     let verdict = |ok: bool| if ok { "passed" } else { "FAILED" };
-    println!("every request had exactly one end: {}", verdict(report.whole.requests.lost == 0));
+    println!("every request had exactly one end: {}", verdict(report.total.requests.lost == 0));
     println!("there was no violation: {}", verdict(report.violations_count == 0));
-    println!("served in time, by priority weight: {:.1}%", 100.0 * report.whole.worth.share);
+    println!("served in time, by priority weight: {:.1}%", 100.0 * report.total.priority_weight.share);
     if let Some(out) = out {
         println!("plots: {}/requests.svg and load.svg", out.display());
     }
--- a/testbed/src/model.rs
+++ b/testbed/src/model.rs
@@ -90,7 +90,7 @@
 
 /// Why a request is rejected before it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turned {
+pub enum Rejection {
     /// The queue is full.
     Full,
     /// The backend drains.
@@ -252,20 +252,20 @@
     ///
     /// # Errors
     /// Why it is rejected.
-    pub fn arrive(&mut self, job: u64, work: f64, deadline: f64) -> Result<(), Turned> {
+    pub fn arrive(&mut self, job: u64, work: f64, deadline: f64) -> Result<(), Rejection> {
         if self.fallen {
-            return Err(Turned::Down);
+            return Err(Rejection::Down);
         }
         // All work that is sent can make a cold backend fail, whether or not it is rejected.
         self.arrived_work += work;
         if self.draining {
-            return Err(Turned::Draining);
+            return Err(Rejection::Draining);
         }
         let job = Job { job, arrived_at: self.now, deadline, work };
         if self.kind.is_delay_only || self.running.len() < self.kind.cores {
             self.running.push(Running { job, work_left: work, started_at: self.now });
         } else if self.waiting.len() >= self.kind.queue {
-            return Err(Turned::Full);
+            return Err(Rejection::Full);
         } else {
             self.waiting.push_back(job);
         }
@@ -273,7 +273,7 @@
     }
 
     /// The time of the next event, if no request arrives before.
-    pub fn next(&self) -> f64 {
+    pub fn next_event_at(&self) -> f64 {
         let rate = self.rate();
         let ends = self.running.iter().map(|r| r.work_left / rate).fold(f64::INFINITY, f64::min);
         (self.now + ends).min(self.next_tick)
@@ -282,7 +282,7 @@
     /// Advances the time to `to`; requests that end are added to `done`, in order of time.
     pub fn advance(&mut self, to: f64, done: &mut Vec<Done>) {
         while self.now < to {
-            let at = self.next().min(to).max(self.now);
+            let at = self.next_event_at().min(to).max(self.now);
             let work_done = (at - self.now) * self.rate();
             self.now = at;
             for running in &mut self.running {
--- a/testbed/src/overhead/pool.rs
+++ b/testbed/src/overhead/pool.rs
@@ -104,7 +104,7 @@
         });
         let answer = exchange.await.unwrap_or(Err(CallFailure::Timeout))?;
         let mut idle = self.server.idle.borrow_mut();
-        if !answer.closes() && idle.len() < MAX_IDLE_PER_SERVER {
+        if !answer.closes_connection() && idle.len() < MAX_IDLE_PER_SERVER {
             idle.push(self.connection);
         }
         Ok(answer)
--- a/testbed/src/overhead/tests.rs
+++ b/testbed/src/overhead/tests.rs
@@ -138,7 +138,7 @@
         first: "GET /v1/messages/42 HTTP/1.1".into(),
         headers: headers.map(|(name, value)| (name.to_string(), value.to_string())).to_vec(),
         body: Vec::new(),
-        began: Instant::now(),
+        started_at: Instant::now(),
     };
     let text = |request| String::from_utf8(next_request(request)).expect("a head of ASCII");
     let (first, second) = (text(&request), text(&request));
--- a/testbed/src/plots.rs
+++ b/testbed/src/plots.rs
@@ -20,7 +20,7 @@
 /// # Errors
 /// If drawing or writing a file fails.
 pub fn draw(dir: &Path, report: &Report, ends: &[End], machines: &[Machine], record: &Record) -> DrawResult {
-    let end_s = report.whole.span[1].max(1.0);
+    let end_s = report.total.span[1].max(1.0);
     requests(&dir.join("requests.svg"), report, ends, end_s)?;
     latency(&dir.join("latency.svg"), ends)?;
     loads(&dir.join("load.svg"), machines, end_s)?;
--- a/testbed/src/proxy_pool.rs
+++ b/testbed/src/proxy_pool.rs
@@ -153,7 +153,7 @@
 
     fn answered(&self, id: u64, answer: &Message, connection: Conn) -> AttemptEnd {
         let mut idle = self.idle.borrow_mut();
-        if !answer.closes() && connection.is_clean() && idle.len() < MAX_IDLE {
+        if !answer.closes_connection() && connection.is_clean() && idle.len() < MAX_IDLE {
             idle.push(connection);
         }
         AttemptEnd::Answered {
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Calls the next tier for the request that a backend serves; returns whether the call was served.
-    pub async fn call_next_tier(
+    /// Sends a call of the next tier for the request that a backend serves; returns whether the call was served.
+    pub async fn send_nested_call(
         &self,
         request: &Message,
         class: &Class,
--- a/testbed/src/record.rs
+++ b/testbed/src/record.rs
@@ -64,7 +64,7 @@
     /// New connections in each bin.
     pub connections: Vec<u32>,
     /// The number of requests that it rejected.
-    pub turned: u64,
+    pub rejected: u64,
     /// The spans in which it was listed as serving, in seconds; open spans end at infinity.
     pub listed: Vec<[f64; 2]>,
 }
@@ -101,11 +101,11 @@
     /// Time 0 of the run.
     pub start: Instant,
     /// The proxy to which each request id was sent.
-    senders: Mutex<HashMap<u64, usize>>,
+    proxies_by_txn: Mutex<HashMap<u64, usize>>,
     ends: Mutex<Vec<End>>,
     broken: Mutex<Vec<BrokenAttempt>>,
-    /// Ids of requests that ran and must not run again.
-    ran: Mutex<HashSet<u64>>,
+    /// Ids of executed requests that must not be executed again.
+    executed: Mutex<HashSet<u64>>,
     /// For each proxy: the revisions of which it was notified, with their times.
     revisions: Mutex<Vec<Vec<(u64, f64)>>>,
     /// The revisions that the list service acknowledged, with their times.
@@ -126,10 +126,10 @@
     pub fn new(start: Instant, proxies: usize) -> Arc<Self> {
         Arc::new(Self {
             start,
-            senders: Mutex::default(),
+            proxies_by_txn: Mutex::default(),
             ends: Mutex::default(),
             broken: Mutex::default(),
-            ran: Mutex::default(),
+            executed: Mutex::default(),
             revisions: Mutex::new(vec![Vec::new(); proxies]),
             acknowledged: Mutex::default(),
             violations: Mutex::default(),
@@ -160,18 +160,18 @@
     /// Returns a new request id for a request to `proxy`.
     pub fn txn(&self, proxy: usize) -> u64 {
         let txn = self.next_txn.fetch_add(1, Ordering::Relaxed);
-        lock(&self.senders).insert(txn, proxy);
+        lock(&self.proxies_by_txn).insert(txn, proxy);
         txn
     }
 
     /// The proxy to which a request id was sent.
-    pub fn sender(&self, txn: u64) -> Option<usize> {
-        lock(&self.senders).get(&txn).copied()
+    pub fn proxy_of(&self, txn: u64) -> Option<usize> {
+        lock(&self.proxies_by_txn).get(&txn).copied()
     }
 
-    /// Records that a request runs that must not run twice.
-    pub fn runs(&self, txn: u64) {
-        if !lock(&self.ran).insert(txn) {
+    /// Records the execution of a request that must not be executed twice.
+    pub fn record_execution(&self, txn: u64) {
+        if !lock(&self.executed).insert(txn) {
             self.violation(|| format!("request {txn:016x} ran twice, which its class forbids"));
         }
     }
@@ -212,7 +212,7 @@
     }
 
     /// When a proxy was notified of a revision or a later one.
-    pub fn told(&self, proxy: usize, revision: u64) -> Option<f64> {
+    pub fn notified_at(&self, proxy: usize, revision: u64) -> Option<f64> {
         let all = lock(&self.revisions);
         let revisions = all.get(proxy)?;
         let first = revisions.partition_point(|(r, _)| *r < revision);
--- a/testbed/src/report.rs
+++ b/testbed/src/report.rs
@@ -33,7 +33,7 @@
 
 /// The priority weight of requests, offered and served in time.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Worth {
+pub struct PriorityWeight {
     /// The sum over all requests.
     pub offered: f64,
     /// The sum over requests served within the latency objective of their class.
@@ -85,7 +85,8 @@
     /// Requests by outcome.
     pub requests: Requests,
     /// Priority weight, offered and served.
-    pub worth: Worth,
+    #[serde(rename = "worth")]
+    pub priority_weight: PriorityWeight,
     /// The latency of served requests.
     pub latency_ms: Latency,
     /// How evenly load was spread over the machines of the first tier.
@@ -141,7 +142,7 @@
     pub proxies: usize,
     /// Figures of the whole run after the warm-up.
     #[serde(flatten)]
-    pub whole: Figures,
+    pub total: Figures,
     /// Figures by window.
     pub windows: BTreeMap<String, Figures>,
     /// How late proxies were notified of list revisions.
@@ -151,7 +152,8 @@
     /// The number of violations.
     pub violations_count: u64,
     /// The state of the testbed itself.
-    pub lab: TestbedStatus,
+    #[serde(rename = "lab")]
+    pub testbed: TestbedStatus,
     /// The faults that were applied: their times in seconds, and their descriptions.
     pub faults: Vec<(f64, String)>,
 }
@@ -161,18 +163,18 @@
     histogram.value_at_quantile(q) as f64 / 1e3
 }
 
-fn requests(ends: &[&End], classes: &[Class]) -> (Requests, Worth, Latency) {
-    let (mut r, mut w) = (Requests::default(), Worth::default());
+fn requests(ends: &[&End], classes: &[Class]) -> (Requests, PriorityWeight, Latency) {
+    let (mut r, mut w) = (Requests::default(), PriorityWeight::default());
     let mut latency = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3).ok();
     for end in ends {
         r.offered += 1;
         let class = classes.get(end.class);
-        let worth = class.map_or(0.0, |c| c.worth);
-        w.offered += worth;
+        let priority_weight = class.map_or(0.0, |c| c.priority_weight);
+        w.offered += priority_weight;
         let count = match end.outcome {
             Outcome::Served => {
                 if class.is_some_and(|c| end.latency <= c.on_time) {
-                    w.served += worth;
+                    w.served += priority_weight;
                 }
                 if let Some(latency) = latency.as_mut() {
                     latency.saturating_record(((end.latency * 1e6) as u64).max(1));
@@ -290,7 +292,7 @@
 /// The figures of one span, in seconds.
 pub fn figures(ends: &[End], machines: &[Machine], classes: &[Class], from: f64, to: f64) -> Figures {
     let here: Vec<&End> = ends.iter().filter(|e| (from..to).contains(&e.at)).collect();
-    let (requests, worth, latency_ms) = requests(&here, classes);
+    let (requests, priority_weight, latency_ms) = requests(&here, classes);
     let (a, b) = bin_range(from, to);
     let first: Vec<&Machine> = machines.iter().filter(|m| m.tier == 0).collect();
     let connections: u32 = first
@@ -305,12 +307,12 @@
     Figures {
         span: [from, to],
         requests,
-        worth,
+        priority_weight,
         latency_ms,
         spread: spread(machines, from, to),
         connections_per_s: f64::from(connections) / (to - from).max(BIN_S),
         sends_per_request: sends / (requests.offered as f64).max(1.0),
-        turned_away: first.iter().map(|m| m.sent.turned).sum(),
+        turned_away: first.iter().map(|m| m.sent.rejected).sum(),
     }
 }
 
@@ -321,7 +323,7 @@
     // Revisions from before the load are part of the list that a proxy gets when it starts.
     for (revision, at) in record.acknowledged().into_iter().filter(|(_, at)| *at >= 0.0) {
         for proxy in 0..proxies {
-            match record.told(proxy, revision) {
+            match record.notified_at(proxy, revision) {
                 // A notification that arrives before the acknowledgement was read has no delay.
                 Some(notified_at) => {
                     if !record.was_down(proxy, [at, notified_at]) {
@@ -371,7 +373,7 @@
         let mut text = String::new();
         let partial = if self.partial { " (ended early)" } else { "" };
         let _ = writeln!(text, "{} seed {}{partial}: {} proxies", self.name, self.seed, self.proxies);
-        let whole = ("whole".to_string(), self.whole.clone());
+        let whole = ("whole".to_string(), self.total.clone());
         for (name, f) in std::iter::once(&whole).chain(
             self.windows.clone().iter().map(|(n, f)| (n.clone(), f.clone())).collect::<Vec<_>>().iter(),
         ) {
@@ -389,7 +391,7 @@
                 r.died,
                 r.left,
                 r.lost,
-                f.worth.share,
+                f.priority_weight.share,
                 l.p50,
                 l.p99,
                 l.p999
@@ -418,11 +420,11 @@
             "  list: {} notifications, delay p99 {:.1} ms, max {:.1} ms; {} never arrived",
             r.counted, r.p99_lag_ms, r.max_lag_ms, r.never
         );
-        let trusted = if self.lab.trusted { "" } else { " (NOT TO BE TRUSTED)" };
+        let trusted = if self.testbed.trusted { "" } else { " (NOT TO BE TRUSTED)" };
         let _ = writeln!(
             text,
             "  testbed: lateness p99 {:.2} ms{trusted}, {:.2} cores, {:.0} MB; started in {:.1} s",
-            self.lab.lateness_ms, self.lab.cpu_share, self.lab.memory_mb, self.lab.startup_s
+            self.testbed.lateness_ms, self.testbed.cpu_share, self.testbed.memory_mb, self.testbed.startup_s
         );
         let _ = writeln!(text, "  violations: {}", self.violations_count);
         for violation in self.violations.iter().take(10) {
--- a/testbed/src/report/tests.rs
+++ b/testbed/src/report/tests.rs
@@ -27,7 +27,7 @@
 fn exceeded_bounds_and_unknown_figures_are_violations() {
     let mut report = Report::default();
     report.windows.insert("after".into(), Figures::default());
-    report.whole.spread.cv = 0.5;
+    report.total.spread.cv = 0.5;
     assert_eq!((report.figure("spread.cv"), report.figure("after.spread.cv")), (Some(0.5), Some(0.0)));
     let text = "name = \"x\"\nseconds = 1\n[proxies]\ncount = 1\n[load]\nrate = 1\n[[classes]]\nname = \"c\"\n\
                 share = 1\nwork_ms = [1, 1]\neffect = \"free\"\non_time = 1\nhard_limit = 1\n[[backends]]\n\
--- a/testbed/src/run/faults.rs
+++ b/testbed/src/run/faults.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::{Placement, Run, Target};
 use super::timeline::Step;
-use crate::spec::{Fault, What};
+use crate::spec::{Fault, FaultKind};
 use crate::stage::set_direct_address;
 use nix::sys::signal::Signal;
 use serde_json::json;
@@ -10,8 +10,8 @@
 
 /// How long a replaced backend drains before it ends, in seconds.
 const REPLACED_DRAIN_S: f64 = 1.5;
-/// How long after SIGTERM the front stops sending requests to a proxy, in seconds.
-const FRONT_STOP_DELAY_S: f64 = 0.3;
+/// How long after SIGTERM the load balancer stops sending requests to a proxy, in seconds.
+const BALANCER_STOP_DELAY_S: f64 = 0.3;
 /// The period of repeated faults of a backend, in seconds.
 const REPEAT_PERIOD_S: f64 = 1.0;
 
@@ -20,7 +20,7 @@
     pub fn perform(&mut self, step: Step) {
         let now = self.record.now();
         match step {
-            Step::SetProxyInFront { proxy, alive } => self.set_in_front(proxy, alive),
+            Step::SetProxyInRotation { proxy, alive } => self.set_in_rotation(proxy, alive),
             Step::RemoveBackend { tier, id } => self.remove_backend(tier, id),
             Step::Freeze { slot, duration, ends_at } => self.freeze(slot, duration, ends_at, now),
             Step::NoisyNeighbour { slot, part, ends_at, active } => {
@@ -33,7 +33,7 @@
             Step::ApplyFault(index, None) => self.apply_to_group(index, now),
             Step::LiftFault(index, targets) => {
                 let fault = self.experiment.faults[index].clone();
-                self.fault_log.push((now, format!("{:?} ends", fault.what).to_lowercase()));
+                self.fault_log.push((now, format!("{:?} ends", fault.kind).to_lowercase()));
                 self.lift(&fault, &targets, now);
             }
         }
@@ -42,11 +42,11 @@
     /// Applies a fault to all targets of its group, at once or one after another, and schedules its end.
     fn apply_to_group(&mut self, index: usize, now: f64) {
         let fault = self.experiment.faults[index].clone();
-        let group_text = self.experiment.groups.get(&fault.who).unwrap_or(&fault.who);
+        let group_text = self.experiment.groups.get(&fault.targets).unwrap_or(&fault.targets);
         let to = fault.to.as_ref().map_or(String::new(), |to| format!(" to {to}"));
-        self.fault_log.push((now, format!("{:?} {group_text}{to}", fault.what).to_lowercase()));
+        self.fault_log.push((now, format!("{:?} {group_text}{to}", fault.kind).to_lowercase()));
         // The group was checked when the file was read.
-        let Ok(group) = self.experiment.group(&fault.who) else { return };
+        let Ok(group) = self.experiment.group(&fault.targets) else { return };
         let seed = self.options.seed ^ (index as u64) << 8;
         let targets = self.targets(&group, seed);
         if fault.within > 0.0 {
@@ -66,22 +66,24 @@
         if fault.to.is_some() {
             return self.set_links(fault, targets, Some(fault.by_ms.unwrap_or(0.0) / 1e3));
         }
-        self.signal_all(fault.what, targets);
+        self.signal_all(fault.kind, targets);
         let ends_at = now + fault.length.unwrap_or(f64::INFINITY);
-        let front_notices = now + self.experiment.load.front_notices;
+        let balancer_notices_at = now + self.experiment.load.balancer_delay_s;
         for target in targets.iter().copied() {
-            match (fault.what, target) {
-                (What::Kill, Target::Proxy(proxy)) => {
+            match (fault.kind, target) {
+                (FaultKind::Kill, Target::Proxy(proxy)) => {
                     self.proxies[proxy].process = None;
-                    self.schedule_in_front(front_notices, proxy, false);
+                    self.schedule_in_rotation(balancer_notices_at, proxy, false);
                 }
-                (What::Kill, Target::Node(node)) => self.lists[0].kill(node),
-                (What::Kill, Target::Backend(slot)) => self.kill_backend(slot),
-                (What::Stop, Target::Proxy(proxy)) => self.schedule_in_front(front_notices, proxy, false),
-                (What::Term, Target::Proxy(proxy)) => {
-                    self.schedule_in_front(now + FRONT_STOP_DELAY_S, proxy, false);
+                (FaultKind::Kill, Target::Node(node)) => self.lists[0].kill(node),
+                (FaultKind::Kill, Target::Backend(slot)) => self.kill_backend(slot),
+                (FaultKind::Stop, Target::Proxy(proxy)) => {
+                    self.schedule_in_rotation(balancer_notices_at, proxy, false);
                 }
-                (What::Start, target) => self.start(target, now),
+                (FaultKind::Term, Target::Proxy(proxy)) => {
+                    self.schedule_in_rotation(now + BALANCER_STOP_DELAY_S, proxy, false);
+                }
+                (FaultKind::Start, target) => self.start(target, now),
                 (kind, Target::Backend(slot)) => self.apply_to_backend(kind, fault, slot, now, ends_at),
                 _ => {}
             }
@@ -89,16 +91,16 @@
     }
 
     /// Signals all targets before waiting for any of them, so that they end together.
-    fn signal_all(&mut self, kind: What, targets: &[Target]) {
+    fn signal_all(&mut self, kind: FaultKind, targets: &[Target]) {
         let signal = match kind {
-            What::Kill => Signal::SIGKILL,
-            What::Stop => Signal::SIGSTOP,
-            What::Term => Signal::SIGTERM,
+            FaultKind::Kill => Signal::SIGKILL,
+            FaultKind::Stop => Signal::SIGSTOP,
+            FaultKind::Term => Signal::SIGTERM,
             _ => return,
         };
         for target in targets {
             if let Target::Proxy(proxy) = target
-                && kind != What::Term
+                && kind != FaultKind::Term
             {
                 self.record.down(*proxy);
             }
@@ -117,24 +119,30 @@
         }
     }
 
-    fn apply_to_backend(&mut self, kind: What, fault: &Fault, slot: usize, now: f64, ends_at: f64) {
+    fn apply_to_backend(&mut self, kind: FaultKind, fault: &Fault, slot: usize, now: f64, ends_at: f64) {
         let part = fault.part.unwrap_or(1.0);
         let seconds = fault.by_ms.unwrap_or(0.0) / 1e3;
         match kind {
-            What::Stop => self.backends.with(slot, |b, _| b.ail(|ills| ills.silent = true)),
-            What::Drain => self.drain(slot),
-            What::Replace => self.replace(slot, now),
-            What::Slow => self.backends.with(slot, move |b, _| b.change(|model| model.slow_to(part))),
-            What::Freeze => self.timeline.schedule(now, Step::Freeze { slot, duration: seconds, ends_at }),
-            What::Neighbour => {
+            FaultKind::Stop => self.backends.with(slot, |b, _| b.change_faults(|f| f.is_unresponsive = true)),
+            FaultKind::Drain => self.drain(slot),
+            FaultKind::Replace => self.replace(slot, now),
+            FaultKind::Slow => self.backends.with(slot, move |b, _| b.change_model(|m| m.slow_to(part))),
+            FaultKind::Freeze => {
+                self.timeline.schedule(now, Step::Freeze { slot, duration: seconds, ends_at });
+            }
+            FaultKind::Neighbour => {
                 self.timeline.schedule(now, Step::NoisyNeighbour { slot, part, ends_at, active: true });
             }
-            What::FailFast => self.backends.with(slot, move |b, _| b.ail(|ills| ills.fail_fast = part)),
-            What::LateReports => {
-                self.backends.with(slot, move |b, _| b.ail(|ills| ills.late_reports = seconds));
+            FaultKind::FailFast => {
+                self.backends.with(slot, move |b, _| b.change_faults(|f| f.failure_share = part));
+            }
+            FaultKind::LateReports => {
+                self.backends.with(slot, move |b, _| b.change_faults(|f| f.report_delay_s = seconds));
+            }
+            FaultKind::LyingReports => {
+                self.backends.with(slot, |b, _| b.change_faults(|f| f.reports_idle = true));
             }
-            What::LyingReports => self.backends.with(slot, |b, _| b.ail(|ills| ills.lying = true)),
-            What::Weight => self.set_weight(slot, part),
+            FaultKind::Weight => self.set_weight(slot, part),
             _ => {}
         }
     }
@@ -144,33 +152,41 @@
             return self.set_links(fault, targets, None);
         }
         for target in targets.iter().copied() {
-            match (fault.what, target) {
-                (What::Kill | What::Term, target) => self.start(target, now),
-                (What::Stop, Target::Proxy(proxy)) => {
+            match (fault.kind, target) {
+                (FaultKind::Kill | FaultKind::Term, target) => self.start(target, now),
+                (FaultKind::Stop, Target::Proxy(proxy)) => {
                     self.signal(target, Signal::SIGCONT);
                     self.record.up(proxy);
-                    self.schedule_in_front(now + self.experiment.load.front_notices, proxy, true);
+                    self.schedule_in_rotation(now + self.experiment.load.balancer_delay_s, proxy, true);
                 }
-                (What::Stop, Target::Node(_)) => self.signal(target, Signal::SIGCONT),
+                (FaultKind::Stop, Target::Node(_)) => self.signal(target, Signal::SIGCONT),
                 (kind, Target::Backend(slot)) => self.lift_from_backend(kind, slot, now),
                 _ => {}
             }
         }
     }
 
-    fn lift_from_backend(&mut self, kind: What, slot: usize, now: f64) {
+    fn lift_from_backend(&mut self, kind: FaultKind, slot: usize, now: f64) {
         match kind {
-            What::Stop => self.backends.with(slot, |b, _| b.ail(|ills| ills.silent = false)),
-            What::Drain => {
+            FaultKind::Stop => {
+                self.backends.with(slot, |b, _| b.change_faults(|f| f.is_unresponsive = false));
+            }
+            FaultKind::Drain => {
                 let (tier, id) = (self.slots[slot].tier, self.slots[slot].id.clone());
                 self.slots[slot].address = None;
                 self.timeline.schedule(now, Step::RemoveBackend { tier, id });
             }
-            What::Slow => self.backends.with(slot, |b, _| b.change(|model| model.slow_to(1.0))),
-            What::FailFast => self.backends.with(slot, |b, _| b.ail(|ills| ills.fail_fast = 0.0)),
-            What::LateReports => self.backends.with(slot, |b, _| b.ail(|ills| ills.late_reports = 0.0)),
-            What::LyingReports => self.backends.with(slot, |b, _| b.ail(|ills| ills.lying = false)),
-            What::Weight => self.set_weight(slot, self.slots[slot].kind.weight),
+            FaultKind::Slow => self.backends.with(slot, |b, _| b.change_model(|m| m.slow_to(1.0))),
+            FaultKind::FailFast => {
+                self.backends.with(slot, |b, _| b.change_faults(|f| f.failure_share = 0.0));
+            }
+            FaultKind::LateReports => {
+                self.backends.with(slot, |b, _| b.change_faults(|f| f.report_delay_s = 0.0));
+            }
+            FaultKind::LyingReports => {
+                self.backends.with(slot, |b, _| b.change_faults(|f| f.reports_idle = false));
+            }
+            FaultKind::Weight => self.set_weight(slot, self.slots[slot].kind.weight),
             _ => {}
         }
     }
@@ -181,7 +197,7 @@
             Target::Proxy(proxy) if proxy < self.proxies.len() => {
                 self.proxies[proxy].process = None;
                 if self.restart_proxy(proxy) {
-                    self.schedule_in_front(now + self.experiment.load.front_notices, proxy, true);
+                    self.schedule_in_rotation(now + self.experiment.load.balancer_delay_s, proxy, true);
                 }
             }
             Target::Backend(slot) => {
@@ -229,9 +245,9 @@
             let body = json!({"instanceId": id});
             let Some(revision) = writer.write(tier, "/v1/drain", &body) else { return };
             stage.with_id(&id, move |backend| {
-                backend.drains_since(revision);
-                backend.change(|model| model.draining = true);
-                backend.listed(false);
+                backend.set_drain_revision(revision);
+                backend.change_model(|model| model.draining = true);
+                backend.set_listed(false);
             });
         });
     }
@@ -260,11 +276,11 @@
 
     fn freeze(&mut self, slot: usize, duration: f64, ends_at: f64, now: f64) {
         self.backends.with(slot, move |backend, _| {
-            backend.change(|model| model.freeze(true));
+            backend.change_model(|model| model.freeze(true));
             let backend = backend.clone();
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(Duration::from_secs_f64(duration)).await;
-                backend.change(|model| model.freeze(false));
+                backend.change_model(|model| model.freeze(false));
             });
         });
         if now + REPEAT_PERIOD_S < ends_at {
@@ -275,7 +291,7 @@
     fn noisy_neighbour(&mut self, slot: usize, part: f64, ends_at: f64, active: bool, now: f64) {
         let remaining = if active && now < ends_at { 1.0 - part } else { 1.0 };
         self.backends.with(slot, move |backend, _| {
-            backend.change(|model| model.set_available_share(remaining));
+            backend.change_model(|model| model.set_available_share(remaining));
         });
         if now < ends_at {
             let next = (now + REPEAT_PERIOD_S).min(ends_at);
--- a/testbed/src/run/fleet.rs
+++ b/testbed/src/run/fleet.rs
@@ -6,7 +6,7 @@
 use super::revision_tap::revision_tap;
 use super::timeline::{Step, Timeline};
 use super::{Options, READY_TIMEOUT};
-use crate::backend::Made;
+use crate::backend::BackendConfig;
 use crate::calls::call;
 use crate::client::Direct;
 use crate::cluster::Cluster;
@@ -27,7 +27,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Backends of one failure domain, in each zone.
-const BACKENDS_PER_CELL: usize = 4;
+const BACKENDS_PER_FAILURE_DOMAIN: usize = 4;
 /// The interval at which a starting proxy's readiness is polled.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -50,7 +50,7 @@
     pub tier: usize,
     pub kind: Kind,
     zone: String,
-    cell: u32,
+    failure_domain: u32,
     pub speed: f64,
     /// The number of machines that were replaced in this slot.
     replaced: u32,
@@ -103,7 +103,7 @@
     pub rng: SmallRng,
 }
 
-/// The slots of an experiment, with each machine's speed drawn; zones and cells are assigned in turn.
+/// The slots of an experiment, with each machine's speed drawn; zones and failure domains are assigned in turn.
 pub(super) fn backend_slots(experiment: &Experiment, rng: &mut SmallRng) -> Vec<BackendSlot> {
     let zones = &experiment.proxies.zones;
     let mut slots = Vec::new();
@@ -116,7 +116,7 @@
                 speed: rng.random_range(kind.speed[0]..=kind.speed[1]),
                 kind: kind.clone(),
                 zone: zones[number % zones.len()].clone(),
-                cell: (number / zones.len() / BACKENDS_PER_CELL) as u32,
+                failure_domain: (number / zones.len() / BACKENDS_PER_FAILURE_DOMAIN) as u32,
                 replaced: 0,
                 id: format!("s{tier}-{number}"),
                 address: None,
@@ -138,11 +138,11 @@
             slot.id = format!("s{}-{slot_index}-{}", slot.tier, slot.replaced);
             slot.speed = self.rng.random_range(slot.kind.speed[0]..=slot.kind.speed[1]);
         }
-        let made = Made {
+        let config = BackendConfig {
             index: slot_index,
             id: slot.id.clone(),
             zone: slot.zone.clone(),
-            cell: slot.cell,
+            failure_domain: slot.failure_domain,
             tier: slot.tier,
             kind: slot.kind.clone(),
             speed: slot.speed,
@@ -150,34 +150,38 @@
             seed,
             port: 0,
         };
-        let address = self.backends.start_backend(made, replaces);
+        let address = self.backends.start_backend(config, replaces);
         let address = address
             .ok_or_else(|| RunError::Io(std::io::Error::other("no port is available for a backend")))?;
         slot.address = Some(address);
         let body = slot.registration_body(address, is_cold, self.experiment.list.ttl_ms);
         let registration = Registration { tier: slot.tier, id: slot.id.clone(), body };
         let (stage, id, direct) = (self.backends.clone(), slot.id.clone(), self.direct.clone());
-        let delay_ms = if is_cold { self.experiment.list.list_after_ms } else { 0 };
+        let delay_ms = if is_cold { self.experiment.list.listing_delay_ms } else { 0 };
         self.writes.push(move |writer| {
             std::thread::sleep(Duration::from_millis(delay_ms));
             writer.register(registration);
-            stage.with_id(&id, |backend| backend.listed(true));
+            stage.with_id(&id, |backend| backend.set_listed(true));
             set_direct_address(direct.as_ref(), slot_index, Some(address));
         });
         Ok(())
     }
 
-    /// Makes all proxies, `front_count` for the front and then the sidecars of `sidecar_slots`, and starts those
+    /// Makes all proxies, `client_proxy_count` for clients and then the sidecars of `sidecar_slots`, and starts those
     /// that run from the beginning.
-    pub fn make_proxies(&mut self, sidecar_slots: &[usize], front_count: usize) -> Result<(), RunError> {
+    pub fn make_proxies(
+        &mut self,
+        sidecar_slots: &[usize],
+        client_proxy_count: usize,
+    ) -> Result<(), RunError> {
         let experiment = self.experiment;
         let zones = &experiment.proxies.zones;
-        for number in 0..front_count {
+        for number in 0..client_proxy_count {
             let zone = zones[number % zones.len()].clone();
-            self.make_proxy(None, &zone, 0, [number, front_count])?;
+            self.make_proxy(None, &zone, 0, [number, client_proxy_count])?;
             if number < experiment.proxies.count {
                 self.start_new_proxy(number)?;
-                self.set_in_front(number, true);
+                self.set_in_rotation(number, true);
             }
         }
         for slot in sidecar_slots {
@@ -226,19 +230,19 @@
         self.record.up(number);
         match proxy.sidecar_of {
             Some(slot) => self.backends.set_next_tier_proxy(slot, number, address),
-            None => self.clients.with(move |front| front.pools[number].set_address(address)),
+            None => self.clients.with(move |balancer| balancer.pools[number].set_address(address)),
         }
         Ok(())
     }
 
-    /// Makes the front send requests to a proxy, or stop sending them.
-    pub fn set_in_front(&self, proxy: usize, alive: bool) {
-        self.clients.with(move |front| front.set_alive(proxy, alive));
+    /// Makes the load balancer send requests to a proxy, or stop sending them.
+    pub fn set_in_rotation(&self, proxy: usize, alive: bool) {
+        self.clients.with(move |balancer| balancer.set_alive(proxy, alive));
     }
 
-    /// Schedules [`Run::set_in_front`].
-    pub fn schedule_in_front(&mut self, at: f64, proxy: usize, alive: bool) {
-        self.timeline.schedule(at, Step::SetProxyInFront { proxy, alive });
+    /// Schedules [`Run::set_in_rotation`].
+    pub fn schedule_in_rotation(&mut self, at: f64, proxy: usize, alive: bool) {
+        self.timeline.schedule(at, Step::SetProxyInRotation { proxy, alive });
     }
 
     /// Waits until every proxy that runs is ready and, at the first tier, has been sent revision `listed`.
@@ -260,7 +264,7 @@
     }
 
     fn is_ready(&self, number: usize, address: SocketAddr, listed: u64) -> bool {
-        let is_notified = self.proxies[number].tier > 0 || self.record.told(number, listed).is_some();
+        let is_notified = self.proxies[number].tier > 0 || self.record.notified_at(number, listed).is_some();
         let answer = || call(address, "GET", "/-/ready", &Value::Null);
         is_notified && answer().is_some_and(|(status, _)| status == 200)
     }
@@ -316,7 +320,7 @@
     fn registration_body(&self, address: SocketAddr, is_cold: bool, ttl_ms: u64) -> Value {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         json!({"instanceId": self.id, "hostPort": address.to_string(), "zone": self.zone,
-               "machineType": self.kind.name, "cell": self.cell, "lifecycle": "SERVING",
+               "machineType": self.kind.name, "cell": self.failure_domain, "lifecycle": "SERVING",
                "weight": self.kind.weight, "startedAtMs": if is_cold { unix } else { 0 }, "ttlMs": ttl_ms})
     }
 }
--- a/testbed/src/run/link_faults.rs
+++ b/testbed/src/run/link_faults.rs
@@ -4,7 +4,7 @@
 use crate::backend::LinkFault;
 use crate::links::Fault as RelayFault;
 use crate::proxy_pool::ClientLink;
-use crate::spec::{Fault, What};
+use crate::spec::{Fault, FaultKind};
 use rand::Rng;
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
         match (from, to) {
             (Target::Proxy(proxy), Target::Backend(slot)) | (Target::Backend(slot), Target::Proxy(proxy)) => {
                 let fault = effect.at_backend(matches!(from, Target::Backend(_)));
-                self.backends.with(slot, move |backend, world| world.link(proxy, backend.index, fault));
+                self.backends.with(slot, move |backend, shared| shared.set_link(proxy, backend.index, fault));
             }
             (Target::Proxy(proxy), Target::Node(node)) | (Target::Node(node), Target::Proxy(proxy)) => {
                 let fault = effect.at_relay(matches!(from, Target::Proxy(_)));
@@ -58,7 +58,7 @@
                     ClientLink::Swallow | ClientLink::Reset => self.record.down(proxy),
                     ClientLink::Pass | ClientLink::Delay(_) | ClientLink::Drop(_) => self.record.up(proxy),
                 }
-                self.clients.with(move |front| front.pools[proxy].set_link(link));
+                self.clients.with(move |balancer| balancer.pools[proxy].set_link(link));
             }
             _ => {}
         }
@@ -79,10 +79,10 @@
         if self.is_lifted() {
             return None;
         }
-        Some(match self.fault.what {
-            What::Delay => LinkFault::Delay(self.delay_seconds()),
-            What::Drop => LinkFault::Drop(self.one_in),
-            What::Reset => LinkFault::Reset,
+        Some(match self.fault.kind {
+            FaultKind::Delay => LinkFault::Delay(self.delay_seconds()),
+            FaultKind::Drop => LinkFault::Drop(self.one_in),
+            FaultKind::Reset => LinkFault::Reset,
             _ if self.fault.one_way && from_backend => LinkFault::SwallowAnswers,
             _ => LinkFault::SwallowRequests,
         })
@@ -90,11 +90,11 @@
 
     /// The fault at a relay whose target is the fault's other end (`to_target`) or its own.
     fn at_relay(self, to_target: bool) -> RelayFault {
-        match self.fault.what {
+        match self.fault.kind {
             _ if self.is_lifted() => RelayFault::Pass,
-            What::Delay => RelayFault::Delay(Duration::from_secs_f64(self.delay_seconds())),
-            What::Drop => RelayFault::Drop { one_in: self.one_in },
-            What::Reset => RelayFault::Cut,
+            FaultKind::Delay => RelayFault::Delay(Duration::from_secs_f64(self.delay_seconds())),
+            FaultKind::Drop => RelayFault::Drop { one_in: self.one_in },
+            FaultKind::Reset => RelayFault::Cut,
             _ if !self.fault.one_way => RelayFault::BlackHole,
             _ if to_target => RelayFault::BlackHoleTo,
             _ => RelayFault::BlackHoleFrom,
@@ -103,11 +103,11 @@
 
     /// The fault at the clients' side of a link to a proxy.
     fn at_clients(self) -> ClientLink {
-        match self.fault.what {
+        match self.fault.kind {
             _ if self.is_lifted() => ClientLink::Pass,
-            What::Delay => ClientLink::Delay(self.delay_seconds()),
-            What::Drop => ClientLink::Drop(self.one_in),
-            What::Reset => ClientLink::Reset,
+            FaultKind::Delay => ClientLink::Delay(self.delay_seconds()),
+            FaultKind::Drop => ClientLink::Drop(self.one_in),
+            FaultKind::Reset => ClientLink::Reset,
             _ => ClientLink::Swallow,
         }
     }
--- a/testbed/src/run/mod.rs
+++ b/testbed/src/run/mod.rs
@@ -20,7 +20,7 @@
 use crate::record::{End, Record};
 use crate::report::{MAX_LATENESS_MS, Report, Revisions, TestbedStatus, by_window, lags};
 use crate::scratch::Scratch;
-use crate::spec::{Dealer, Experiment};
+use crate::spec::{BalancingPolicy, Experiment};
 use crate::stage::{BackendLoop, ClientLoop, Machine};
 use crate::usage;
 use fleet::{BackendSlot, Placement, Run, backend_slots};
@@ -135,8 +135,8 @@
     let last_tier = experiment.tiers.len();
     let sidecar_slots: Vec<usize> = (0..slots.len()).filter(|slot| slots[*slot].tier < last_tier).collect();
     limits::check(experiment, sidecar_slots.len())?;
-    let front_count = experiment.proxies.count + experiment.proxies.reserve;
-    let proxy_count = front_count + sidecar_slots.len();
+    let client_proxy_count = experiment.proxies.count + experiment.proxies.reserve;
+    let proxy_count = client_proxy_count + sidecar_slots.len();
     let started_at = Instant::now();
     // Time 0 of the record is the first arrival; times before it count as negative.
     let setup = EXPECTED_START
@@ -156,8 +156,8 @@
     let listed = run.writes.wait_until_written();
     heartbeats.start(&run);
     let bar = options.progress.then(|| ProgressBar::new(PROGRESS_STEPS));
-    if experiment.proxies.dealer == Dealer::Proxy {
-        run.make_proxies(&sidecar_slots, front_count)?;
+    if experiment.proxies.policy == BalancingPolicy::Proxy {
+        run.make_proxies(&sidecar_slots, client_proxy_count)?;
         if let Some(bar) = &bar {
             bar.set_message("starting");
         }
@@ -179,7 +179,7 @@
     let machines = run.backends.machines();
     let ends = record.ends(experiment.oracle.one_end);
     let own_usage = OwnUsage { startup_s: startup.as_secs_f64(), cpu_share };
-    let mut report = run.report(&load_end, &ends, &machines, front_count, &own_usage);
+    let mut report = run.report(&load_end, &ends, &machines, client_proxy_count, &own_usage);
     drop(run);
     drop(scratch);
     if !load_end.is_partial {
@@ -219,8 +219,8 @@
     let registrations = Registrations::default();
     let writes = ListWriter::start(nodes.clone(), registrations.clone(), record.clone());
     let heartbeats = Heartbeats { nodes, registrations, ended: Arc::new(AtomicBool::new(false)) };
-    let direct = (experiment.proxies.dealer != Dealer::Proxy).then(|| Direct {
-        dealer: experiment.proxies.dealer,
+    let direct = (experiment.proxies.policy != BalancingPolicy::Proxy).then(|| Direct {
+        policy: experiment.proxies.policy,
         backends: Arc::new(
             slots
                 .iter()
@@ -229,9 +229,9 @@
         ),
         in_flight,
     });
-    let front_count = experiment.proxies.count + experiment.proxies.reserve;
-    let front_shares = shares(front_count, experiment.proxies.uneven, options.seed);
-    let clients = ClientLoop::start(record.clone(), vec![None; front_count], front_shares)?;
+    let client_proxy_count = experiment.proxies.count + experiment.proxies.reserve;
+    let balancer_shares = shares(client_proxy_count, experiment.proxies.uneven, options.seed);
+    let clients = ClientLoop::start(record.clone(), vec![None; client_proxy_count], balancer_shares)?;
     let mut run = Run {
         experiment,
         options,
@@ -330,11 +330,11 @@
         load_end: &LoadEnd,
         ends: &[End],
         machines: &[Machine],
-        front_count: usize,
+        client_proxy_count: usize,
         own_usage: &OwnUsage,
     ) -> Report {
         let experiment = self.experiment;
-        let (whole, windows) = by_window(ends, machines, experiment, load_end.counted_until);
+        let (total, windows) = by_window(ends, machines, experiment, load_end.counted_until);
         let (violations_count, violations) = self.record.violations();
         let lateness_ms =
             load_end.lateness.as_ref().map_or(f64::INFINITY, |h| h.value_at_quantile(0.99) as f64 / 1e3);
@@ -343,13 +343,13 @@
             seed: self.options.seed,
             program: self.options.program.display().to_string(),
             partial: load_end.is_partial,
-            proxies: front_count,
-            whole,
+            proxies: client_proxy_count,
+            total,
             windows,
             revisions: self.revisions(),
             violations,
             violations_count,
-            lab: TestbedStatus {
+            testbed: TestbedStatus {
                 lateness_ms,
                 cpu_share: own_usage.cpu_share,
                 startup_s: own_usage.startup_s,
@@ -362,7 +362,7 @@
 
     /// How far proxies lagged behind the revisions of the list.
     fn revisions(&self) -> Revisions {
-        let is_proxied = self.experiment.proxies.dealer == Dealer::Proxy;
+        let is_proxied = self.experiment.proxies.policy == BalancingPolicy::Proxy;
         let (lag, never) = lags(&self.record, if is_proxied { self.experiment.proxies.count } else { 0 });
         let p99 = ((lag.len() as f64 * 0.99) as usize).min(lag.len().saturating_sub(1));
         Revisions {
--- a/testbed/src/run/proxy_config.rs
+++ b/testbed/src/run/proxy_config.rs
@@ -64,5 +64,5 @@
         Effect::SingleShot => "single_shot",
     };
     json!({"name": class.name, "effect": effect, "group": "cell", "window": class.window,
-           "on-time": class.on_time, "hard-limit": class.hard_limit, "worth": class.worth})
+           "on-time": class.on_time, "hard-limit": class.hard_limit, "worth": class.priority_weight})
 }
--- a/testbed/src/run/timeline.rs
+++ b/testbed/src/run/timeline.rs
@@ -10,11 +10,11 @@
     ApplyFault(usize, Option<Target>),
     /// A fault ends at these targets.
     LiftFault(usize, Vec<Target>),
-    /// The front begins or stops to send requests to a proxy.
-    SetProxyInFront {
+    /// The load balancer begins or stops to send requests to a proxy.
+    SetProxyInRotation {
         /// The proxy.
         proxy: usize,
-        /// Whether the front sends it requests.
+        /// Whether the load balancer sends it requests.
         alive: bool,
     },
     /// A drained backend of a tier, by id, ends and leaves the list.
--- a/testbed/src/soak/backend.rs
+++ b/testbed/src/soak/backend.rs
@@ -80,7 +80,7 @@
                 abort(conn.stream());
                 return;
             };
-            if ends_connection || message.closes() {
+            if ends_connection || message.closes_connection() {
                 return;
             }
         }
@@ -100,7 +100,7 @@
         let attempt = Attempt {
             id,
             backend: self.number,
-            started_at: message.began,
+            started_at: message.started_at,
             remaining_s: remaining_ms / 1000.0,
             is_rejected,
         };
--- a/testbed/src/soak/client.rs
+++ b/testbed/src/soak/client.rs
@@ -166,8 +166,9 @@
             return (false, None);
         }
         self.record(ClientRequest { id, proxy, class, sent_at, budget, idle_for, outcome, ended_at });
-        let is_reusable =
-            matches!(&read_result, Ok(Ok(answer)) if !answer.closes()) && !pipelined && conn.is_clean();
+        let is_reusable = matches!(&read_result, Ok(Ok(answer)) if !answer.closes_connection())
+            && !pipelined
+            && conn.is_clean();
         (outcome == Outcome::Closed && idle_for.is_some(), is_reusable.then_some((proxy, conn, ended_at)))
     }
 
--- a/testbed/src/spec.rs
+++ b/testbed/src/spec.rs
@@ -1,5 +1,5 @@
-//! Experiment files (TOML): what fleet is played, under what load, with what faults when, and what must hold.
-//! Unknown keys are an error that names the line.
+//! Experiment files (TOML): the fleet, the load, the timeline of faults, and the checks of a run. An unknown key is an
+//! error that names its line.
 
 use crate::groups::{Group, GroupError};
 use crate::model::Kind;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Why an experiment can't be played.
+/// Why an experiment can't be run.
 #[derive(Debug, Error)]
 pub enum SpecError {
     /// The file can't be read.
@@ -19,52 +19,52 @@
     /// A value out of its range.
     #[error("{0}")]
     Value(String),
-    /// A group's words.
+    /// A group expression is invalid.
     #[error(transparent)]
     Group(#[from] GroupError),
 }
 
-/// A whole experiment.
+/// An experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     /// Its name, as reports give it.
     pub name: String,
-    /// What it is for.
+    /// Its purpose.
     #[serde(default)]
     pub about: String,
-    /// How long arrivals come, in seconds, warm-up included.
+    /// How long requests arrive, in seconds, warm-up included.
     pub seconds: f64,
-    /// Seconds at the start that no figure counts.
+    /// Seconds at the start that no figure includes.
     #[serde(default)]
     pub warmup: f64,
-    /// The proxies before the backends.
+    /// The proxies in front of the backends.
     pub proxies: Proxies,
     /// The list service.
     #[serde(default)]
     pub list: List,
-    /// What is asked for.
+    /// The load.
     pub load: Load,
-    /// Kinds of request.
+    /// The request classes.
     pub classes: Vec<Class>,
-    /// Who asks.
-    #[serde(default = "one_tenant")]
+    /// The tenants.
+    #[serde(default = "default_tenants")]
     pub tenants: Vec<Tenant>,
-    /// Kinds of backend of the first tier.
+    /// The kinds of backend of the first tier.
     pub backends: Vec<Kind>,
-    /// Later tiers, each called by every backend of the one before through a proxy of its own.
+    /// The tiers after the first. Each backend of a tier calls the next tier through a sidecar proxy.
     #[serde(default)]
     pub tiers: Vec<Tier>,
-    /// Names for groups, used in `who` and `to`.
+    /// Names for group expressions, used in `who` and `to`.
     #[serde(default)]
     pub groups: BTreeMap<String, String>,
-    /// What goes wrong, when.
+    /// The timeline of faults.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// Stretches for which the report gives figures of their own.
+    /// Time windows for which the report has separate figures.
     #[serde(default)]
     pub windows: Vec<Window>,
-    /// What must hold.
+    /// The checks of the run.
     #[serde(default)]
     pub oracle: Oracle,
 }
@@ -73,213 +73,216 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proxies {
-    /// How many run from the start.
+    /// The number that run from the start.
     pub count: usize,
-    /// How many more there are, started only by a fault.
+    /// The number of reserve proxies, which only a fault starts.
     #[serde(default)]
     pub reserve: usize,
-    /// How much more than the mean a tenth of the proxies carries (1: all alike).
-    #[serde(default = "one")]
+    /// The load of the busiest tenth of the proxies, as a multiple of the mean (1: all equal).
+    #[serde(default = "default_multiple")]
     pub uneven: f64,
-    /// Zones, dealt over proxies and backends in turn.
-    #[serde(default = "zone_a")]
+    /// The zones, assigned to proxies and backends in turn.
+    #[serde(default = "default_zones")]
     pub zones: Vec<String>,
-    /// Who chooses backends: the proxies, or one of the lab's two baselines.
-    #[serde(default)]
-    pub dealer: Dealer,
-    /// Most attempts of a request.
-    #[serde(default = "three")]
+    /// How backends are selected: by the proxies, or by one of the testbed's two baseline policies.
+    #[serde(default, rename = "dealer")]
+    pub policy: BalancingPolicy,
+    /// Maximum number of attempts per request.
+    #[serde(default = "default_max_attempts")]
     pub max_attempts: usize,
-    /// Further settings put over those made from this file, as the proxy's JSON names them.
+    /// Further proxy settings, by their JSON keys, which override those made from this file.
     #[serde(default)]
     pub settings: toml::Table,
 }
 
-/// Who chooses backends.
+/// How backends are selected.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Dealer {
-    /// The proxies.
+pub enum BalancingPolicy {
+    /// The proxies select them.
     #[default]
     Proxy,
-    /// A baseline without proxies: each request goes to a backend drawn by weight.
+    /// A baseline without proxies: each request goes to a backend drawn at random by weight.
     Random,
-    /// A baseline without proxies: each request goes to the backend with the least in flight for its speed, by
-    /// the truth of the moment.
-    Least,
+    /// A baseline without proxies: each request goes to the backend with the fewest requests in flight relative to
+    /// its speed, by exact current counts.
+    #[serde(rename = "least")]
+    LeastLoaded,
 }
 
 /// The list service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct List {
-    /// Its nodes: 1, 3 or 5.
+    /// The number of its nodes: 1, 3 or 5.
     pub nodes: usize,
-    /// The TTL of a backend's entry, in milliseconds; it beats each third of it.
+    /// The TTL of a backend's entry, in milliseconds. Heartbeats are sent every third of it.
     pub ttl_ms: u64,
-    /// From a new backend listening to its listing, and from a dead one's last beat on only the TTL counts.
-    pub list_after_ms: u64,
+    /// The time from a new backend listening until it is listed, in milliseconds. The removal of a dead backend
+    /// depends only on the TTL, from its last heartbeat.
+    #[serde(rename = "list_after_ms")]
+    pub listing_delay_ms: u64,
 }
 
 impl Default for List {
     fn default() -> Self {
-        Self { nodes: 1, ttl_ms: 3_000, list_after_ms: 0 }
+        Self { nodes: 1, ttl_ms: 3_000, listing_delay_ms: 0 }
     }
 }
 
-/// What is asked for: arrivals by time, whatever becomes of them (an open loop).
+/// The load: requests arrive independently of how earlier ones end (an open loop).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Requests a second of all clients together.
+    /// Requests per second of all clients together.
     pub rate: f64,
-    /// Stretches at other rates.
+    /// Periods with other rates.
     #[serde(default)]
     pub bursts: Vec<Burst>,
-    /// How often a client comes again by itself after a refusal, a failure or a dead proxy.
+    /// The number of retries that a client makes by itself after a rejection, a failure or a dead proxy.
     #[serde(default)]
     pub retries: usize,
-    /// How long it waits before that, in seconds; `Retry-After` counts where it is longer.
+    /// How long it waits before a retry, in seconds; a longer `Retry-After` takes precedence.
     #[serde(default)]
     pub retry_wait: f64,
-    /// The part of requests whose client leaves early, after the same part of its time.
+    /// The fraction of requests whose client leaves early, at a random time before its hard limit.
     #[serde(default)]
     pub leave_early: f64,
-    /// What the front deals out.
-    #[serde(default)]
-    pub deals: Deals,
-    /// After how many seconds the front notices that a proxy is dead, or is there.
-    #[serde(default = "one")]
-    pub front_notices: f64,
+    /// What the load balancer in front of the proxies distributes.
+    #[serde(default, rename = "deals")]
+    pub balances: BalancingUnit,
+    /// Seconds after which the load balancer notices that a proxy is dead or has started.
+    #[serde(default = "default_multiple", rename = "front_notices")]
+    pub balancer_delay_s: f64,
 }
 
-/// What the front deals out over the proxies by their shares.
+/// What the load balancer distributes over the proxies by their shares.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Deals {
-    /// Each request: a proxy's share of the load is what the file says.
+pub enum BalancingUnit {
+    /// Requests: each proxy gets its configured share of the load.
     #[default]
     Requests,
-    /// Connections, as `PROTOCOL` has it: a request takes one at rest, whichever proxy it leads to, and only where
-    /// all are busy another is opened.
+    /// Connections, as in `PROTOCOL`: a request uses an idle connection, to whichever proxy; a new connection is
+    /// opened only if all are busy.
     Connections,
 }
 
-/// A stretch of load at another rate.
+/// A period of load with another rate.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// From when, in seconds.
+    /// Its start, in seconds.
     pub at: f64,
-    /// For how long.
+    /// Its length, in seconds.
     #[serde(rename = "for")]
     pub length: f64,
-    /// At how many times the rate.
+    /// The factor by which the rate is multiplied.
     pub times: f64,
 }
 
-/// What may be done with a request that may have run.
+/// Whether a request that may have run may be repeated.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
     /// Safe to repeat.
     Free,
-    /// Carries a key; a cell drops a repeat within the window.
+    /// Carries an idempotency key; a failure domain drops a repeat within the window.
     Guarded,
     /// Must never run twice.
     SingleShot,
 }
 
-/// A kind of request.
+/// A request class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// Its name, as `X-Lane` carries it.
     pub name: String,
-    /// Its part of the requests.
+    /// Its fraction of the requests.
     pub share: f64,
-    /// Its work in milliseconds of the yardstick, drawn evenly from this range.
+    /// Its work in milliseconds of a core of speed 1, drawn uniformly from this range.
     pub work_ms: [f64; 2],
-    /// Whether its work is drawn from an exponential of the range's mean instead.
+    /// Whether its work is drawn from an exponential distribution with the range's mean instead.
     #[serde(default)]
     pub exponential: bool,
-    /// What repeats do.
+    /// Whether its requests may be repeated.
     pub effect: Effect,
-    /// Seconds within which it is worth something.
+    /// Its latency objective, in seconds.
     pub on_time: f64,
-    /// Seconds after which the client gives up.
+    /// Its timeout at the client, in seconds.
     pub hard_limit: f64,
-    /// What one served in time is worth.
-    #[serde(default = "one")]
-    pub worth: f64,
-    /// For how many seconds a cell drops a repeat of a key.
-    #[serde(default = "ten")]
+    /// The priority weight of a request served in time.
+    #[serde(default = "default_multiple", rename = "worth")]
+    pub priority_weight: f64,
+    /// Seconds for which a failure domain drops repeats of an idempotency key.
+    #[serde(default = "default_window_s")]
     pub window: f64,
 }
 
-/// Somebody who asks.
+/// A tenant.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
     /// Its name, as `X-Org` carries it.
     pub name: String,
-    /// Its part of the requests.
+    /// Its fraction of the requests.
     pub share: f64,
-    /// Its quota a second, as the proxies are told.
-    #[serde(default = "much")]
+    /// Its quota per second, as configured at the proxies.
+    #[serde(default = "default_quota")]
     pub quota: f64,
 }
 
-/// A later tier.
+/// A tier after the first.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
-    /// Calls that each request of the tier before makes, one after another, on average.
+    /// The average number of calls that each request of the previous tier makes, one after another.
     pub calls: f64,
-    /// The part of a request's work that a call of this tier does.
+    /// The work of a call of this tier, as a fraction of the request's work.
     pub work: f64,
-    /// Kinds of backend.
+    /// The kinds of backend.
     pub backends: Vec<Kind>,
 }
 
-/// What goes wrong.
+/// The kind of a fault.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
-    /// Processes are SIGKILLed, backends' connections reset and new ones refused; with `for`, they start again.
+pub enum FaultKind {
+    /// Processes get SIGKILL; backends reset connections and refuse new ones. With `for`, they start again.
     Kill,
-    /// Proxies and list nodes get SIGSTOP, and SIGCONT after `for`; backends fall silent.
+    /// Proxies and list nodes get SIGSTOP, and SIGCONT after `for`; backends hang.
     Stop,
     /// Proxies get SIGTERM, and start again after `for` if it is given.
     Term,
-    /// What is not running starts: reserves, or what was killed; backends cold.
+    /// Members that do not run start: reserve proxies, or killed members; backends start cold.
     Start,
-    /// Backends are told to drain (through the list), and are gone after `for` if it is given.
+    /// Backends are drained through the list, and are removed after `for` if it is given.
     Drain,
-    /// Backends are replaced one after another over `within` seconds: each is drained, then gone, and a new cold
-    /// one is listed in its place.
+    /// Backends are replaced one after another over `within` seconds: each is drained, then removed, and a new
+    /// cold one is listed instead.
     Replace,
-    /// Backends work at `part` of their speed.
+    /// Backends run at `part` of their speed.
     Slow,
-    /// Backends stand still for `by_ms` each second.
+    /// Backends stop for `by_ms` in each second.
     Freeze,
     /// Backends answer `part` of their requests with an error at once.
     FailFast,
-    /// A neighbour takes `part` of the machine, on and off.
+    /// A neighbour uses `part` of the machine, every other second.
     Neighbour,
-    /// Load reports come `by_ms` late.
+    /// Load reports are delayed by `by_ms`.
     LateReports,
-    /// Load reports say that the backend is idle, whatever it does.
+    /// Load reports always claim that the backend is idle.
     LyingReports,
     /// Backends are listed with weight `part`.
     Weight,
-    /// The link from `who` to `to` delays what passes by up to `by_ms`, a time of its own for each link.
+    /// The link from `who` to `to` delays messages by up to `by_ms`, drawn for each link.
     Delay,
-    /// The link breaks one in `1 / part` of new connections.
+    /// The link breaks one in `1 / part` new connections, requests or attempts.
     Drop,
-    /// The link swallows what passes; with `one_way`, only what `who` sends.
+    /// The link loses all data; with `one_way`, only the data that `who` sends.
     BlackHole,
-    /// The link resets what is open and what comes.
+    /// The link resets open and new connections.
     Reset,
 }
 
@@ -287,65 +290,68 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When, in seconds from the first arrival.
+    /// When it begins, in seconds from the first arrival.
     pub at: f64,
-    /// For how long, where it ends by itself.
+    /// Its length in seconds, if it ends by itself.
     #[serde(default, rename = "for")]
     pub length: Option<f64>,
-    /// What.
-    pub what: What,
-    /// To whom: a group's name or words (`groups`).
-    pub who: String,
-    /// The link's other end.
+    /// Its kind.
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
+    /// The members that it applies to: the name of a group (`groups`) or a group expression.
+    #[serde(rename = "who")]
+    pub targets: String,
+    /// The other end of the link.
     #[serde(default)]
     pub to: Option<String>,
-    /// A part of something, by kind.
+    /// A fraction; its meaning depends on the kind.
     #[serde(default)]
     pub part: Option<f64>,
-    /// Milliseconds of something, by kind.
+    /// A time in milliseconds; its meaning depends on the kind.
     #[serde(default)]
     pub by_ms: Option<f64>,
-    /// Seconds over which it strikes one after another.
+    /// Seconds over which it is applied to the members one after another.
     #[serde(default)]
     pub within: f64,
-    /// Whether a link is cut only from `who` to `to`.
+    /// Whether a link loses only data from `who` to `to`.
     #[serde(default)]
     pub one_way: bool,
-    /// How often it strikes, `every` seconds apart.
-    #[serde(default = "once")]
+    /// How often it is applied, `every` seconds apart.
+    #[serde(default = "default_times")]
     pub times: usize,
-    /// Seconds between two strikes.
+    /// Seconds between two applications.
     #[serde(default)]
     pub every: f64,
 }
 
-/// A stretch of the run.
+/// A time window of the run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Window {
     /// Its name.
     pub name: String,
-    /// From when, in seconds.
+    /// Its start, in seconds.
     pub from: f64,
-    /// Up to when.
+    /// Its end, in seconds.
     pub to: f64,
 }
 
-/// What must never happen, and figures that fail the run.
+/// The oracle of a run: invariants, and bounds on figures.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Oracle {
-    /// A request that a live proxy took has exactly one end.
+    /// A request that a live proxy accepted has exactly one end.
     pub one_end: bool,
-    /// A request of a class that must not run twice does not.
+    /// A request of a class that must not run twice does not run twice.
     pub no_double: bool,
-    /// Nothing new to a backend this many milliseconds after its proxy was told that it drains (0: not checked).
+    /// Milliseconds after the notification of a drain from which the proxy sends the backend nothing new (0: not
+    /// checked).
     pub drain_ms: f64,
-    /// No cold backend falls over.
+    /// No cold backend fails under load.
     pub no_fall: bool,
-    /// Bounds on figures of the report, by path: `"after.spread.idle_share" = 0.0`.
+    /// Upper bounds on figures of the report, by path: `"after.spread.idle_share" = 0.0`.
     pub at_most: BTreeMap<String, f64>,
-    /// The same from below.
+    /// Lower bounds on figures, by path.
     pub at_least: BTreeMap<String, f64>,
 }
 
@@ -356,49 +362,49 @@
     }
 }
 
-fn one() -> f64 {
+fn default_multiple() -> f64 {
     1.0
 }
-fn ten() -> f64 {
+fn default_window_s() -> f64 {
     10.0
 }
-fn much() -> f64 {
+fn default_quota() -> f64 {
     1e6
 }
-fn three() -> usize {
+fn default_max_attempts() -> usize {
     3
 }
-fn once() -> usize {
+fn default_times() -> usize {
     1
 }
-fn zone_a() -> Vec<String> {
+fn default_zones() -> Vec<String> {
     vec!["a".into()]
 }
-fn one_tenant() -> Vec<Tenant> {
-    vec![Tenant { name: "default".into(), share: 1.0, quota: much() }]
+fn default_tenants() -> Vec<Tenant> {
+    vec![Tenant { name: "default".into(), share: 1.0, quota: default_quota() }]
 }
 
-/// Most backends of one experiment, all tiers together.
-pub const MOST_BACKENDS: usize = 2_048;
-/// Most proxies of one experiment, the backends' own among them.
-pub const MOST_PROXIES: usize = 2_048;
+/// Maximum number of backends of one experiment, over all tiers.
+pub const MAX_BACKENDS: usize = 2_048;
+/// Maximum number of proxies of one experiment, including sidecars of backends.
+pub const MAX_PROXIES: usize = 2_048;
 
 impl Experiment {
-    /// Reads and checks an experiment file; `set` holds overrides, `path.to.key=value`.
+    /// Reads and checks an experiment file; `set` contains overrides by dotted path.
     ///
     /// # Errors
-    /// As [`SpecError`] says.
+    /// See [`SpecError`].
     pub fn read(path: &str, set: &[(String, toml::Value)]) -> Result<Self, SpecError> {
         let text = std::fs::read_to_string(path).map_err(|e| SpecError::Read(path.into(), e))?;
-        // Read whole first, so that an unknown key is told with its line.
-        let plain: Self = toml::from_str(&text).map_err(|e| SpecError::Toml(path.into(), e))?;
+        // Parsed without overrides first, so that the error of an unknown key names its line.
+        let without_overrides: Self = toml::from_str(&text).map_err(|e| SpecError::Toml(path.into(), e))?;
         let experiment = if set.is_empty() {
-            plain
+            without_overrides
         } else {
             let mut table: toml::Value =
                 toml::from_str(&text).map_err(|e| SpecError::Toml(path.into(), e))?;
             for (key, value) in set {
-                put(&mut table, key, value.clone())?;
+                set_at_path(&mut table, key, value.clone())?;
             }
             table.try_into().map_err(|e| SpecError::Toml(format!("{path} with --set"), e))?
         };
@@ -407,92 +413,139 @@
     }
 
     fn check(&self) -> Result<(), SpecError> {
-        let value = |ok: bool, why: &str| if ok { Ok(()) } else { Err(SpecError::Value(why.into())) };
+        let require = |ok: bool, rule: &str| if ok { Ok(()) } else { Err(SpecError::Value(rule.into())) };
         let positive = |v: f64| v.is_finite() && v > 0.0;
-        value(positive(self.seconds) && self.seconds <= 3_600.0, "seconds: above 0, up to 3,600")?;
-        value((0.0..self.seconds).contains(&self.warmup), "warmup: from 0, below seconds")?;
-        value(positive(self.load.rate) && self.load.rate <= 20_000.0, "load.rate: above 0, up to 20,000")?;
-        value(self.proxies.count >= 1 && !self.proxies.zones.is_empty(), "proxies: at least 1, in a zone")?;
-        value(self.proxies.uneven >= 1.0 && self.proxies.uneven < 10.0, "proxies.uneven: from 1, below 10")?;
-        value(matches!(self.list.nodes, 1 | 3 | 5), "list.nodes: 1, 3 or 5")?;
-        value((500..=300_000).contains(&self.list.ttl_ms), "list.ttl_ms: from 500 to 300,000")?;
-        value(!self.classes.is_empty() && !self.tenants.is_empty(), "classes, tenants: at least one each")?;
+        require(
+            positive(self.seconds) && self.seconds <= 3_600.0,
+            "seconds must be above 0 and at most 3,600",
+        )?;
+        require((0.0..self.seconds).contains(&self.warmup), "warmup must be at least 0 and below seconds")?;
+        require(
+            positive(self.load.rate) && self.load.rate <= 20_000.0,
+            "load.rate must be above 0 and at most 20,000",
+        )?;
+        require(
+            self.proxies.count >= 1 && !self.proxies.zones.is_empty(),
+            "proxies: at least 1 proxy and 1 zone are needed",
+        )?;
+        require(
+            self.proxies.uneven >= 1.0 && self.proxies.uneven < 10.0,
+            "proxies.uneven must be at least 1 and below 10",
+        )?;
+        require(matches!(self.list.nodes, 1 | 3 | 5), "list.nodes must be 1, 3 or 5")?;
+        require((500..=300_000).contains(&self.list.ttl_ms), "list.ttl_ms must be from 500 to 300,000")?;
+        require(
+            !self.classes.is_empty() && !self.tenants.is_empty(),
+            "classes, tenants: at least one of each is needed",
+        )?;
         for class in &self.classes {
             let [low, high] = class.work_ms;
-            value(low >= 0.0 && high >= low && high <= 60_000.0, "classes.work_ms: rising, up to 60,000")?;
-            value(class.share >= 0.0 && positive(class.hard_limit), "classes: share, hard_limit")?;
+            require(
+                low >= 0.0 && high >= low && high <= 60_000.0,
+                "classes.work_ms must be a rising range from 0 to at most 60,000",
+            )?;
+            require(
+                class.share >= 0.0 && positive(class.hard_limit),
+                "classes: share must be at least 0, hard_limit above 0",
+            )?;
         }
         let tiers = std::iter::once(&self.backends).chain(self.tiers.iter().map(|t| &t.backends));
         for kind in tiers.clone().flatten() {
-            value(kind.cores >= 1 && positive(kind.speed[0]), "backends: cores from 1, speed above 0")?;
-            value(
+            require(
+                kind.cores >= 1 && positive(kind.speed[0]),
+                "backends: cores must be at least 1, speed above 0",
+            )?;
+            require(
                 kind.speed[1] >= kind.speed[0] && positive(kind.weight),
-                "backends: speed rising, weight above 0",
+                "backends: speed must be a rising range, weight above 0",
             )?;
         }
-        let (mut all, mut own) = (0, 0);
+        let (mut backends, mut sidecars) = (0, 0);
         for (n, tier) in tiers.enumerate() {
             let count: usize = tier.iter().map(|k| k.count).sum();
-            value(count >= 1, "backends: at least one a tier")?;
-            all += count;
-            own += if n < self.tiers.len() { count } else { 0 };
+            require(count >= 1, "backends: at least one per tier is needed")?;
+            backends += count;
+            sidecars += if n < self.tiers.len() { count } else { 0 };
         }
-        value(all <= MOST_BACKENDS, "backends: at most 2,048")?;
-        let proxies = self.proxies.count + self.proxies.reserve + own;
-        value(proxies <= MOST_PROXIES, "proxies: at most 2,048, the backends' own among them")?;
-        value(
-            self.tiers.is_empty() || self.proxies.dealer == Dealer::Proxy,
-            "proxies.dealer: one tier only",
+        require(backends <= MAX_BACKENDS, "backends: at most 2,048 are allowed")?;
+        let proxies = self.proxies.count + self.proxies.reserve + sidecars;
+        require(
+            proxies <= MAX_PROXIES,
+            "proxies: at most 2,048 are allowed, including sidecars of backends",
+        )?;
+        require(
+            self.tiers.is_empty() || self.proxies.policy == BalancingPolicy::Proxy,
+            "proxies.dealer: a baseline policy allows only one tier",
         )?;
         for fault in &self.faults {
-            value(fault.at >= 0.0 && fault.times >= 1, "faults: at from 0, times from 1")?;
-            value(fault.times == 1 || fault.every > 0.0, "faults: every, where it strikes several times")?;
-            self.group(&fault.who)?;
-            let link = matches!(fault.what, What::Delay | What::Drop | What::BlackHole | What::Reset);
-            value(link == fault.to.is_some(), "faults: `to` goes with delay, drop, black_hole and reset")?;
+            require(fault.at >= 0.0 && fault.times >= 1, "faults: at must be at least 0, times at least 1")?;
+            require(
+                fault.times == 1 || fault.every > 0.0,
+                "faults: every must be above 0 if times is above 1",
+            )?;
+            self.group(&fault.targets)?;
+            let is_link_fault = matches!(
+                fault.kind,
+                FaultKind::Delay | FaultKind::Drop | FaultKind::BlackHole | FaultKind::Reset
+            );
+            require(
+                is_link_fault == fault.to.is_some(),
+                "faults: `to` is needed for delay, drop, black_hole and reset, and allowed for no other kind",
+            )?;
             if let Some(to) = &fault.to {
                 self.group(to)?;
             }
-            let part = matches!(
-                fault.what,
-                What::Slow | What::FailFast | What::Neighbour | What::Weight | What::Drop
+            let needs_part = matches!(
+                fault.kind,
+                FaultKind::Slow
+                    | FaultKind::FailFast
+                    | FaultKind::Neighbour
+                    | FaultKind::Weight
+                    | FaultKind::Drop
             );
-            value(!part || fault.part.is_some_and(|p| p > 0.0), "faults: `part` above 0 for this kind")?;
-            let by = matches!(fault.what, What::Freeze | What::LateReports | What::Delay);
-            value(!by || fault.by_ms.is_some_and(positive), "faults: `by_ms` above 0 for this kind")?;
+            require(
+                !needs_part || fault.part.is_some_and(|p| p > 0.0),
+                "faults: `part` must be above 0 for this kind",
+            )?;
+            let needs_by_ms =
+                matches!(fault.kind, FaultKind::Freeze | FaultKind::LateReports | FaultKind::Delay);
+            require(
+                !needs_by_ms || fault.by_ms.is_some_and(positive),
+                "faults: `by_ms` must be above 0 for this kind",
+            )?;
         }
         Ok(())
     }
 
-    /// The group that these words, or the name that stands for them, mean.
+    /// The group of an expression, or of a name in `groups`.
     ///
     /// # Errors
-    /// What is wrong with the words.
-    pub fn group(&self, words: &str) -> Result<Group, GroupError> {
-        Group::parse(self.groups.get(words).map_or(words, String::as_str))
+    /// If the expression is invalid.
+    pub fn group(&self, expression: &str) -> Result<Group, GroupError> {
+        Group::parse(self.groups.get(expression).map_or(expression, String::as_str))
     }
 }
 
-/// Puts a value at a dotted path, which must lead through tables that exist, or through list places by number.
-fn put(table: &mut toml::Value, path: &str, value: toml::Value) -> Result<(), SpecError> {
-    let wrong = || SpecError::Value(format!("--set {path}: no such place"));
-    let (way, last) = path.rsplit_once('.').unwrap_or(("", path));
-    let mut at = table;
-    for step in way.split('.').filter(|s| !s.is_empty()) {
-        at = match at {
+/// Sets the value at a dotted path; list elements are addressed by number and must exist, missing tables are created.
+fn set_at_path(table: &mut toml::Value, path: &str, value: toml::Value) -> Result<(), SpecError> {
+    let bad_path = || SpecError::Value(format!("--set {path}: no such key or element"));
+    let (parents, last) = path.rsplit_once('.').unwrap_or(("", path));
+    let mut current = table;
+    for step in parents.split('.').filter(|s| !s.is_empty()) {
+        current = match current {
             toml::Value::Array(list) => step.parse().ok().and_then(|n: usize| list.get_mut(n)),
-            _ => at.as_table_mut().map(|t| t.entry(step).or_insert_with(|| toml::Table::new().into())),
+            _ => current.as_table_mut().map(|t| t.entry(step).or_insert_with(|| toml::Table::new().into())),
         }
-        .ok_or_else(wrong)?;
+        .ok_or_else(bad_path)?;
     }
-    at.as_table_mut().ok_or_else(wrong)?.insert(last.into(), value);
+    current.as_table_mut().ok_or_else(bad_path)?.insert(last.into(), value);
     Ok(())
 }
 
-/// `key=value` as `--set` gives it, the value as TOML, or text where it is none.
+/// Parses `key=value` of `--set`; a value that is not valid TOML is a string.
 ///
 /// # Errors
-/// Where there is no `=`.
+/// If there is no `=`.
 pub fn setting(text: &str) -> Result<(String, toml::Value), String> {
     let (key, value) = text.split_once('=').ok_or_else(|| format!("{text}: expected key=value"))?;
     let parsed = toml::from_str::<toml::Table>(&format!("v = {value}")).ok().and_then(|mut t| t.remove("v"));
--- a/testbed/src/stage.rs
+++ b/testbed/src/stage.rs
@@ -1,8 +1,8 @@
-//! The two event loops of a run: the backends run on one, the clients and their front on the other. Each loop has its
-//! state in a thread-local variable, and the thread of the run sends it jobs.
+//! The two event loops of a run: the backends run on one, the clients and their load balancer on the other. Each loop
+//! has its state in a thread-local variable, and the thread of the run sends it jobs.
 
-use crate::backend::{Backend, DRAIN_GRACE, Made, World};
-use crate::client::{Arrival, Clients, Direct, Front, packed};
+use crate::backend::{Backend, BackendConfig, DRAIN_GRACE_MS, SharedState};
+use crate::client::{Arrival, Clients, Direct, LoadBalancer, packed};
 use crate::proxy_pool::ProxyPool;
 use crate::record::{Record, Sent};
 use crate::rt::Loop;
@@ -31,14 +31,14 @@
 
 thread_local! {
     static BACKENDS: RefCell<Option<Backends>> = const { RefCell::new(None) };
-    static FRONT: RefCell<Option<FrontState>> = const { RefCell::new(None) };
+    static BALANCER: RefCell<Option<BalancerState>> = const { RefCell::new(None) };
 }
 
-/// The front, and the flag that stops its clients.
-type FrontState = (Rc<Front>, Rc<Cell<bool>>);
+/// The load balancer, and the flag that stops its clients.
+type BalancerState = (Rc<LoadBalancer>, Rc<Cell<bool>>);
 
 struct Backends {
-    world: Rc<World>,
+    shared: Rc<SharedState>,
     /// The current machine of each index.
     current: Vec<Option<Rc<Backend>>>,
     /// Machines that drain after they were replaced.
@@ -74,10 +74,10 @@
         let Oracle { drain_ms, .. } = experiment.oracle;
         let count = in_flight.len();
         backend_loop.0.spawn(move || async move {
-            DRAIN_GRACE.set(drain_ms);
-            let world = World::new(record, classes, tiers, in_flight);
+            DRAIN_GRACE_MS.set(drain_ms);
+            let shared = SharedState::new(record, classes, tiers, in_flight);
             let backends = Backends {
-                world,
+                shared,
                 current: vec![None; count],
                 draining: Vec::new(),
                 former: Vec::new(),
@@ -90,15 +90,15 @@
 
     /// Starts a machine at its index and returns its address. The previous one is killed, or if `previous_drains`,
     /// still runs under its name until [`BackendLoop::kill`].
-    pub fn start_backend(&self, made: Made, previous_drains: bool) -> Option<SocketAddr> {
-        let index = made.index;
+    pub fn start_backend(&self, config: BackendConfig, previous_drains: bool) -> Option<SocketAddr> {
+        let index = config.index;
         let started = self.0.wait(move || async move {
-            let world = BACKENDS.with_borrow(|b| b.as_ref().map(|b| b.world.clone()))?;
-            let backend = Backend::start(world, made).await.ok()?;
+            let shared = BACKENDS.with_borrow(|b| b.as_ref().map(|b| b.shared.clone()))?;
+            let backend = Backend::start(shared, config).await.ok()?;
             BACKENDS.with_borrow_mut(|b| {
                 let backends = b.as_mut()?;
                 if let Some(pool) = &backends.pools[index] {
-                    backend.calls_through(pool.clone());
+                    backend.set_next_tier_proxy(pool.clone());
                 }
                 let previous = backends.current[index].replace(backend.clone());
                 match previous {
@@ -116,11 +116,11 @@
     }
 
     /// Calls `action` with the machine of an index and with the shared state of all backends.
-    pub fn with(&self, index: usize, action: impl FnOnce(&Rc<Backend>, &World) + Send + 'static) {
+    pub fn with(&self, index: usize, action: impl FnOnce(&Rc<Backend>, &SharedState) + Send + 'static) {
         self.0.spawn(move || async move {
             BACKENDS.with_borrow(|b| {
                 let backends = b.as_ref()?;
-                action(backends.current.get(index)?.as_ref()?, &backends.world);
+                action(backends.current.get(index)?.as_ref()?, &backends.shared);
                 Some(())
             });
         });
@@ -141,7 +141,7 @@
     /// Kills the machine of this name.
     pub fn kill(&self, id: &str) {
         self.with_id(id, |backend| {
-            backend.listed(false);
+            backend.set_listed(false);
             backend.kill();
         });
     }
@@ -151,11 +151,11 @@
         self.0.spawn(move || async move {
             BACKENDS.with_borrow_mut(|b| {
                 let Some(backends) = b.as_mut() else { return };
-                let record = backends.world.record.clone();
+                let record = backends.shared.record.clone();
                 let pool = backends.pools[index].get_or_insert_with(|| ProxyPool::new(proxy, None, record));
                 pool.set_address(address);
                 if let Some(backend) = &backends.current[index] {
-                    backend.calls_through(pool.clone());
+                    backend.set_next_tier_proxy(pool.clone());
                 }
             });
         });
@@ -180,7 +180,7 @@
 pub struct ClientLoop(Loop);
 
 impl ClientLoop {
-    /// Starts the loop, with a front for these proxies.
+    /// Starts the loop, with a load balancer for these proxies.
     ///
     /// # Errors
     /// If the thread can't be created.
@@ -195,15 +195,15 @@
                 |(n, address): (usize, &Option<SocketAddr>)| ProxyPool::new(n, *address, record.clone());
             let pools = addresses.iter().enumerate().map(pool).collect();
             let alive = addresses.iter().map(Option::is_some).collect();
-            FRONT.set(Some((Front::new(pools, alive, shares), Rc::default())));
+            BALANCER.set(Some((LoadBalancer::new(pools, alive, shares), Rc::default())));
         });
         Ok(client_loop)
     }
 
-    /// Calls `action` with the front.
-    pub fn with(&self, action: impl FnOnce(&Front) + Send + 'static) {
+    /// Calls `action` with the load balancer.
+    pub fn with(&self, action: impl FnOnce(&LoadBalancer) + Send + 'static) {
         self.0.spawn(move || async move {
-            FRONT.with_borrow(|f| f.as_ref().map(|(front, _)| action(front)));
+            BALANCER.with_borrow(|b| b.as_ref().map(|(balancer, _)| action(balancer)));
         });
     }
 
@@ -217,8 +217,8 @@
     ) -> std::sync::mpsc::Receiver<Histogram<u64>> {
         let (lateness, receiver) = std::sync::mpsc::channel();
         self.0.spawn(move || async move {
-            let Some((front, stop)) = FRONT.with_borrow(Clone::clone) else { return };
-            let clients = Rc::new(Clients { record, front, experiment: Rc::new(experiment), direct });
+            let Some((balancer, stop)) = BALANCER.with_borrow(Clone::clone) else { return };
+            let clients = Rc::new(Clients { record, balancer, experiment: Rc::new(experiment), direct });
             let _ = lateness.send(clients.send_arrivals(arrivals, stop).await);
         });
         receiver
@@ -227,15 +227,15 @@
     /// Stops sending arrivals.
     pub fn stop(&self) {
         self.0.spawn(|| async {
-            FRONT.with_borrow(|f| f.as_ref().map(|(_, stop)| stop.set(true)));
+            BALANCER.with_borrow(|b| b.as_ref().map(|(_, stop)| stop.set(true)));
         });
     }
 
     /// The number of connections opened to proxies so far.
     pub fn opened(&self) -> u64 {
         let opened = self.0.wait(|| async {
-            FRONT.with_borrow(|f| {
-                f.as_ref().map_or(0, |(front, _)| front.pools.iter().map(|p| p.opened.get()).sum())
+            BALANCER.with_borrow(|b| {
+                b.as_ref().map_or(0, |(balancer, _)| balancer.pools.iter().map(|p| p.opened.get()).sum())
             })
         });
         opened.unwrap_or(0)
--- a/tests/fleet/crowds.rs
+++ b/tests/fleet/crowds.rs
@@ -237,7 +237,7 @@
                 Some(_) => End::ClosedInUse(*error),
             },
         };
-        if answer.is_ok_and(|answer| !answer.closes()) {
+        if answer.is_ok_and(|answer| !answer.closes_connection()) {
             self.open_connection = Some((connection, Instant::now()));
         }
         record(end, latency)
--- a/tests/fleet/deployments/clients.rs
+++ b/tests/fleet/deployments/clients.rs
@@ -275,7 +275,7 @@
         if answer.status() == 200 && !answer.body.starts_with(txn.as_bytes()) {
             return End::WrongAnswer;
         }
-        if !answer.closes() {
+        if !answer.closes_connection() {
             self.idle[connection.proxy].borrow_mut().push_back(connection);
         }
         End::Answered(answer.status())
--- a/tests/fleet/harness/resource.rs
+++ b/tests/fleet/harness/resource.rs
@@ -125,7 +125,7 @@
             http::answer(503, "Service Unavailable", "", b"full")
         } else {
             let admitted = token > 0 && state.fence.admit(token).is_ok();
-            state.acts.push(Act { at: message.began, token, holder, admitted });
+            state.acts.push(Act { at: message.started_at, token, holder, admitted });
             match admitted {
                 true => http::answer(200, "OK", "", b"warm"),
                 false => http::answer(409, "Conflict", "", b"fenced"),
--- a/tests/fleet/node_connections.rs
+++ b/tests/fleet/node_connections.rs
@@ -81,7 +81,7 @@
             end = exchange(&mut connection, "GET", &target, &Value::Null).await;
         }
         let CallEnd::Answered(answer) = end else { panic!("a watch without an answer: {end:?}") };
-        if answer.closes() {
+        if answer.closes_connection() {
             connection = connect(node).await;
         }
     }
@@ -213,7 +213,7 @@
                         CallEnd::Answered(answer) => {
                             assert_eq!(answer.status(), 200);
                             answered.set(answered.get() + 1);
-                            answer.closes()
+                            answer.closes_connection()
                         }
                         CallEnd::Closed => {
                             assert!(!is_first_on_connection, "a first call was closed without an answer");
--- a/tests/fleet/system_calls.rs
+++ b/tests/fleet/system_calls.rs
@@ -112,7 +112,7 @@
                 .await
                 .ok()
                 .flatten();
-        if answer.as_ref().is_some_and(|answer| !answer.closes()) {
+        if answer.as_ref().is_some_and(|answer| !answer.closes_connection()) {
             connection = Some(conn);
         }
         statuses.push(answer.map(|answer| answer.status()));
