--- a/testbed/src/spec.rs
+++ b/testbed/src/spec.rs
@@ -1,8 +1,15 @@
 //! Experiment files (TOML): the fleet, the load, the timeline of faults, and the checks of a run. An unknown key is an
 //! error that names its line.
 
+mod fault;
+mod overrides;
+
+pub use fault::{Fault, FaultKind};
+pub use overrides::setting;
+
 use crate::groups::{Group, GroupError};
 use crate::model::Kind;
+use overrides::set_at_path;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use thiserror::Error;
@@ -245,85 +252,6 @@
     pub backends: Vec<Kind>,
 }
 
-/// The kind of a fault.
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "snake_case")]
-pub enum FaultKind {
-    /// Processes get SIGKILL; backends reset connections and refuse new ones. With `for`, they start again.
-    Kill,
-    /// Proxies and list nodes get SIGSTOP, and SIGCONT after `for`; backends hang.
-    Stop,
-    /// Proxies get SIGTERM, and start again after `for` if it is given.
-    Term,
-    /// Members that do not run start: reserve proxies, or killed members; backends start cold.
-    Start,
-    /// Backends are drained through the list, and are removed after `for` if it is given.
-    Drain,
-    /// Backends are replaced one after another over `within` seconds: each is drained, then removed, and a new
-    /// cold one is listed instead.
-    Replace,
-    /// Backends run at `part` of their speed.
-    Slow,
-    /// Backends stop for `by_ms` in each second.
-    Freeze,
-    /// Backends answer `part` of their requests with an error at once.
-    FailFast,
-    /// A neighbour uses `part` of the machine, every other second.
-    Neighbour,
-    /// Load reports are delayed by `by_ms`.
-    LateReports,
-    /// Load reports always claim that the backend is idle.
-    LyingReports,
-    /// Backends are listed with weight `part`.
-    Weight,
-    /// The link from `who` to `to` delays messages by up to `by_ms`, drawn for each link.
-    Delay,
-    /// The link breaks one in `1 / part` new connections, requests or attempts.
-    Drop,
-    /// The link loses all data; with `one_way`, only the data that `who` sends.
-    BlackHole,
-    /// The link resets open and new connections.
-    Reset,
-}
-
-/// A fault on the timeline.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Fault {
-    /// When it begins, in seconds from the first arrival.
-    pub at: f64,
-    /// Its length in seconds, if it ends by itself.
-    #[serde(default, rename = "for")]
-    pub length: Option<f64>,
-    /// Its kind.
-    #[serde(rename = "what")]
-    pub kind: FaultKind,
-    /// The members that it applies to: the name of a group (`groups`) or a group expression.
-    #[serde(rename = "who")]
-    pub targets: String,
-    /// The other end of the link.
-    #[serde(default)]
-    pub to: Option<String>,
-    /// A fraction; its meaning depends on the kind.
-    #[serde(default)]
-    pub part: Option<f64>,
-    /// A time in milliseconds; its meaning depends on the kind.
-    #[serde(default)]
-    pub by_ms: Option<f64>,
-    /// Seconds over which it is applied to the members one after another.
-    #[serde(default)]
-    pub within: f64,
-    /// Whether a link loses only data from `who` to `to`.
-    #[serde(default)]
-    pub one_way: bool,
-    /// How often it is applied, `every` seconds apart.
-    #[serde(default = "default_times")]
-    pub times: usize,
-    /// Seconds between two applications.
-    #[serde(default)]
-    pub every: f64,
-}
-
 /// A time window of the run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -374,9 +302,6 @@
 fn default_max_attempts() -> usize {
     3
 }
-fn default_times() -> usize {
-    1
-}
 fn default_zones() -> Vec<String> {
     vec!["a".into()]
 }
@@ -526,31 +451,5 @@
     }
 }
 
-/// Sets the value at a dotted path; list elements are addressed by number and must exist, missing tables are created.
-fn set_at_path(table: &mut toml::Value, path: &str, value: toml::Value) -> Result<(), SpecError> {
-    let bad_path = || SpecError::Value(format!("--set {path}: no such key or element"));
-    let (parents, last) = path.rsplit_once('.').unwrap_or(("", path));
-    let mut current = table;
-    for step in parents.split('.').filter(|s| !s.is_empty()) {
-        current = match current {
-            toml::Value::Array(list) => step.parse().ok().and_then(|n: usize| list.get_mut(n)),
-            _ => current.as_table_mut().map(|t| t.entry(step).or_insert_with(|| toml::Table::new().into())),
-        }
-        .ok_or_else(bad_path)?;
-    }
-    current.as_table_mut().ok_or_else(bad_path)?.insert(last.into(), value);
-    Ok(())
-}
-
-/// Parses `key=value` of `--set`; a value that is not valid TOML is a string.
-///
-/// # Errors
-/// If there is no `=`.
-pub fn setting(text: &str) -> Result<(String, toml::Value), String> {
-    let (key, value) = text.split_once('=').ok_or_else(|| format!("{text}: expected key=value"))?;
-    let parsed = toml::from_str::<toml::Table>(&format!("v = {value}")).ok().and_then(|mut t| t.remove("v"));
-    Ok((key.trim().into(), parsed.unwrap_or_else(|| toml::Value::String(value.into()))))
-}
-
 #[cfg(test)]
 mod tests;
