--- a/src/agreement/document/initial.rs
+++ b/src/agreement/document/initial.rs
@@ -22,9 +22,9 @@
     settings: &Value,
     fallback: Option<FallbackSettings>,
 ) -> Result<Document, DocumentError> {
-    let caps = &settings["caps"];
-    let max_retry_after = match caps["retry-after"] == true {
-        true => value_or(&caps["max-retry-after"], 0.0),
+    let limits = &settings["caps"];
+    let max_retry_after = match limits["retry-after"] == true {
+        true => value_or(&limits["max-retry-after"], 0.0),
         false => json!(0.0),
     };
     let classes: Vec<Value> =
@@ -34,7 +34,7 @@
     let document = json!({
         "classes": classes,
         "projects": tenants,
-        "max-attempts": caps["max-attempts"],
+        "max-attempts": limits["max-attempts"],
         "max-retry-after": max_retry_after,
         "over-share-worth": value_or(&settings["over-share-worth"], 1.0),
         "floor": fallback.map_or_else(|| derived_fallback(settings), |fallback| json!(fallback))
--- a/src/agreement/document/mod.rs
+++ b/src/agreement/document/mod.rs
@@ -10,10 +10,10 @@
 //! - `classes.*.on-time`, `hard-limit`: one may work on a request for longer than the other's version allows;
 //! - `classes.*.worth`, `late-worth`, `over-share-worth`, `shed`: they shed load in different orders.
 //!
-//! **What needs a restart**, and why: a class's name and a project's name (requests are classified by them), a class's
+//! **What needs a restart**, and why: a class's name and a tenant's name (requests are classified by them), a class's
 //! `effect`, `group`, `window` and `fifo-by-key` (they decide which requests may run twice: if two proxies differ, one
 //! would break the other's guarantee), and `floor` (below). Settings that are not in the document (zones, tier, socket
-//! timeouts, the capacity of backends that are warming up) describe one site and are not shared by the fleet.
+//! timeouts, the capacity of backends in slow start) describe one site and are not shared by the fleet.
 //!
 //! **The fallback settings** (key `floor`) are what a proxy applies while it is detached and can't know which version
 //! is committed: for each kind at most what any version may allow, which [`Document::check`] enforces for every version
@@ -97,19 +97,19 @@
     /// How long an idempotency key is remembered, in seconds; needs a restart.
     #[serde(rename = "window", default, skip_serializing_if = "Option::is_none")]
     pub deduplication_window: Option<f64>,
-    /// Whether requests with one key are served in order; needs a restart.
+    /// Whether requests with the same ordering key are executed one at a time, in order of arrival; needs a restart.
     #[serde(rename = "fifo-by-key", default, skip_serializing_if = "std::ops::Not::not")]
     pub ordered: bool,
-    /// The time within which a response has its full value, in seconds.
+    /// The time within which a response has the full weight, in seconds.
     #[serde(rename = "on-time")]
     pub latency_objective: f64,
-    /// The time after which a client has stopped waiting, in seconds.
+    /// The longest time that a client waits, in seconds.
     #[serde(rename = "hard-limit")]
     pub deadline: f64,
     /// The fraction of the priority weight that a response after the latency objective has.
     #[serde(rename = "late-worth", default)]
     pub late_weight: f64,
-    /// The value of a response within the latency objective, relative to other classes.
+    /// The weight of a response within the latency objective, relative to other classes.
     #[serde(rename = "worth", default = "default_weight")]
     pub priority_weight: f64,
 }
@@ -129,10 +129,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, expecting = "struct ClassFloor")]
 pub struct FallbackClass {
-    /// The time within which a response has its full value, in seconds.
+    /// The time within which a response has the full weight, in seconds.
     #[serde(rename = "on-time")]
     pub latency_objective: f64,
-    /// The time after which a client has stopped waiting, in seconds.
+    /// The longest time that a client waits, in seconds.
     #[serde(rename = "hard-limit")]
     pub deadline: f64,
 }
--- a/src/agreement/follower/mod.rs
+++ b/src/agreement/follower/mod.rs
@@ -69,9 +69,9 @@
     /// # Errors
     /// The key that the proxy can't apply.
     fn can_apply(&self, document: &Document) -> Result<(), DocumentError>;
-    /// Applies this from now on.
+    /// Applies `following` from now on.
     fn follow(&self, following: &AppliedAgreement);
-    /// The endpoint list should be polled at another node: the service named a revision that has not arrived.
+    /// Polls the endpoint list at another node: the service named a revision that has not arrived.
     fn list_is_behind(&self);
 }
 
--- a/src/agreement/state/command.rs
+++ b/src/agreement/state/command.rs
@@ -32,6 +32,7 @@
 
 impl Renewal {
     /// This renewal merged with `next`: calls may overtake one another, so the latest of each revision is retained.
+    /// `acknowledged` is the latest version that the session has acknowledged.
     pub fn followed_by(&self, next: &Renewal, acknowledged: u64) -> Self {
         Self {
             session: next.session,
--- a/src/agreement/state/membership.rs
+++ b/src/agreement/state/membership.rs
@@ -1,4 +1,4 @@
-//! The membership, of which watchers are notified: the slots that belong to a live session.
+//! The membership that watchers are notified of: the slots of live sessions.
 
 use super::sessions::Sessions;
 use serde::{Deserialize, Serialize};
--- a/src/agreement/state/sessions.rs
+++ b/src/agreement/state/sessions.rs
@@ -13,9 +13,9 @@
 /// The maximum number of ended sessions that are retained for the fleet's status.
 pub const MAX_ENDED_SESSIONS: usize = 2_048;
 
-/// The reason why a session ended that its owner closed.
+/// The recorded reason for the end of a session that its owner closed.
 pub(super) const CLOSED: &str = "closed";
-/// The reason why a session ended that was not renewed in time.
+/// The recorded reason for the end of a session that was not renewed in time.
 pub(super) const EXPIRED: &str = "ran out";
 
 /// A session of a live proxy.
@@ -50,7 +50,7 @@
     pub session: u64,
     /// Its proxy's name.
     pub name: String,
-    /// Its slot.
+    /// Its slot; 0 for a proxy that had no session.
     pub slot: u32,
     /// The latest report of its proxy.
     #[serde(rename = "said")]
--- a/src/agreement/state/versions.rs
+++ b/src/agreement/state/versions.rs
@@ -74,7 +74,7 @@
     pub history_bytes: usize,
     pub committed: u64,
     pub offered: u64,
-    /// When it was offered, on the log's clock.
+    /// When the offered version was offered, on the log's clock.
     pub offered_at_ms: u64,
     /// The version to offer next.
     pub waiting: u64,
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// How long an unused quota accrues: quotas are set per second.
+/// The time for which an unused quota accrues, in seconds: quotas are set per second.
 const QUOTA_BURST_DURATION: Time = 1.0;
 
 /// This proxy's part of a tenant's quota.
--- a/src/balancer/discovery_schedule.rs
+++ b/src/balancer/discovery_schedule.rs
@@ -3,8 +3,8 @@
 //!
 //! If polls arrive faster than discovery can answer them one after another, it answers none in time. Failed
 //! polls are repeated, so this state persists. The poll rate of each proxy is therefore limited according to
-//! the number of proxies ([`POLLS_PER_SECOND`]). Discovery counts a proxy as notified of a change after 6 s.
-//! A proxy whose poll is lost just before discovery recovers polls again within `MAX_SPACING * (1 +
+//! the number of proxies ([`POLLS_PER_SECOND`]). Discovery assumes that every proxy knows of a change after
+//! 6 s. A proxy whose poll is lost just before discovery recovers polls again within `MAX_SPACING * (1 +
 //! SPACING_JITTER)` = 5.1 s.
 
 #[cfg(test)]
@@ -14,8 +14,8 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// The longest delay of the first poll, in seconds. Within 6 s it leaves time for a poll that times out after
-/// 1.5 s, the backoff and an answer.
+/// The longest delay of the first poll, in seconds. It leaves enough of the 6 s for a poll that times out
+/// after 1.5 s, the backoff and an answer.
 const MAX_FIRST_DELAY: Time = 2.3;
 /// The longest delay of the first poll, as a fraction of [`Settings::poll_timeout`].
 const FIRST_DELAY_FRACTION: f64 = 0.5;
@@ -63,7 +63,7 @@
     /// See [`Settings::poll_timeout`].
     poll_timeout: Time,
     last_poll_at: Time,
-    /// The number of polls in a row that failed.
+    /// The number of consecutive failed polls.
     failures: u32,
     /// When the last answer arrived or, before the first, the proxy started.
     last_contact: Time,
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Discards the observed slowness, as the backend restarted.
+    /// Discards the observed slowness, because the backend has restarted.
     pub fn reset_slowness(&mut self) {
         self.updated_at = f64::NEG_INFINITY;
     }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -13,8 +13,8 @@
 /// The additional relative load of a backend in another zone, if crossing zones has the cost of a whole
 /// request.
 const CROSS_ZONE_LOAD_FACTOR: f64 = 40.0;
-/// The age in seconds above which a list may not show that a backend drains: discovery counts a proxy as
-/// notified of that after 6 s.
+/// The age in seconds above which a list may not show that a backend is draining: discovery assumes that
+/// every proxy knows of that after 6 s.
 const MAX_LIST_AGE: Time = 4.0;
 /// While the list is stale, a backend with this many consecutive rejections counts as draining; one that is
 /// merely full accepts requests in between.
@@ -110,8 +110,8 @@
         (!responding.is_empty()).then_some(responding)
     }
 
-    /// Draws two of the backends whose load is at most the mean: if any could be drawn, both might be
-    /// overloaded among slow machines.
+    /// Draws two of the backends whose load is at most the mean. If any backend could be drawn, both might be
+    /// overloaded slow machines.
     fn choose_of_two(&mut self, mut pool: Vec<BackendIndex>) -> Option<Choice> {
         let mean = pool.iter().map(|backend| self.load(*backend)).sum::<f64>() / pool.len() as f64;
         let rounding = f64::EPSILON * (16 + pool.len()) as f64; // error of a sum of this length
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -11,7 +11,7 @@
 
 /// The load that all proxies together send to a backend in slow start, as a fraction of the load that would
 /// overload it.
-const OVERLOAD_MARGIN: f64 = 0.4;
+const TARGET_LOAD_FRACTION: f64 = 0.4;
 
 /// The fraction of its full capacity that a backend has; 1 once slow start is over.
 pub(super) fn capacity_fraction(entry: &EndpointEntry, now: Time, settings: &Settings) -> f64 {
@@ -29,7 +29,7 @@
         Self(TokenBucket::new(0.0, now))
     }
 
-    /// Charges a request that is sent to the budget.
+    /// Deducts a request that is sent from the budget.
     pub fn spend(&mut self) {
         self.0.tokens -= 1.0;
     }
@@ -44,7 +44,7 @@
         settings: &Settings,
         rng: &mut SmallRng,
     ) -> bool {
-        let rate = normal_rate * capacity * (OVERLOAD_MARGIN * settings.overload_factor);
+        let rate = normal_rate * capacity * (TARGET_LOAD_FRACTION * settings.overload_factor);
         // A fraction of a token is not saved but becomes a whole token with that probability: if all proxies
         // saved up, many would send a request at the same time.
         let tokens = self.0.refill(now, rate, rate * settings.overload_duration);
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -1,6 +1,6 @@
-//! Deterministic subsetting: which backends this proxy uses. Each round of proxies divides shuffled backends
-//! among its proxies, so that all backends are in about the same number of subsets. The subset grows with the
-//! load.
+//! Deterministic subsetting: which backends this proxy uses. The proxies are grouped into rounds. Each round
+//! shuffles the backends and divides them among its proxies, so that all backends are in about the same
+//! number of subsets. The subset grows with the load.
 
 use super::endpoints::{BackendIndex, EndpointTable};
 use super::estimators::{DecayingRate, MeanDeviation};
--- a/src/balancer/types.rs
+++ b/src/balancer/types.rs
@@ -110,7 +110,8 @@
     pub max_retry_after: Time,
     /// Whether the endpoint list must be polled; otherwise it is pushed.
     pub polls_discovery: bool,
-    /// The longest time between two polls: after it, discovery counts a proxy as notified of a change.
+    /// The longest permitted time between two polls: discovery assumes that a proxy knows of a change after
+    /// this time.
     pub poll_timeout: Time,
     /// The capacity of a backend that has just started, as a fraction of its full capacity.
     pub slow_start_min_capacity: f64,
@@ -286,7 +287,7 @@
     pub key: Option<u64>,
     /// How long the client waits for the response.
     pub timeout: Time,
-    /// An estimate of its work, if the client sent one.
+    /// An estimate of how long its work takes, if the client sent one.
     pub work_estimate: Option<Time>,
 }
 
--- a/src/guard/mod.rs
+++ b/src/guard/mod.rs
@@ -3,15 +3,17 @@
 //!
 //! The guard's decisions are pure functions of the time and the state that it is given. For each [`Invariant`] it
 //! counts the violations that it *prevented*, and those that it *detected* although it had permitted the act, for
-//! example because the process was suspended between reading its clock and writing. A detected violation is always logged; if
-//! `LINKHATCH_STRICT` is set, as in the soak test, it aborts the process.
+//! example because the process was suspended between reading its clock and writing. A detected violation is always
+//! logged. If `LINKHATCH_STRICT` is set, as in the soak test, a violation that the program itself caused aborts the
+//! process.
 
 use crate::balancer::types::{Idempotency, Outcome, Time};
 use crate::telemetry::metrics::{self, CountedEvent};
 pub use crate::telemetry::reason::Invariant;
 use std::cell::{Cell, RefCell};
 
-/// The tolerance, in seconds, by which the time announced to a backend may exceed the client's remaining time.
+/// The tolerance, in seconds, by which an attempt may be written after its send deadline, and by which the time
+/// announced to a backend may exceed the client's remaining time.
 pub const DEADLINE_TOLERANCE_S: Time = 0.15;
 
 /// The attempts of one request that the decision to retry it depends on.
@@ -118,6 +120,7 @@
         invariant
     }
 
+    /// Counts and logs a violation. `late_by` is how late the act was, in seconds; 0 if it does not depend on the time.
     fn report_violation(&self, invariant: Invariant, late_by: Time) {
         let count = &self.violated[invariant as usize];
         count.set(count.get() + 1);
--- a/src/lease/holder/mod.rs
+++ b/src/lease/holder/mod.rs
@@ -5,7 +5,7 @@
 //! warms it up, not all of them together. The backend (or whatever receives the act) answers 409 to a token below one
 //! it has seen; the holder then treats its grant as lost.
 //!
-//! It is run as `linkhatch-proxy hold --config FILE.toml`, never by the proxy's `run`. On SIGTERM it stops acting,
+//! It is run as `linkhatch-proxy hold --config FILE.toml`, never as part of the proxy. On SIGTERM it stops acting,
 //! releases its lease (best effort: without the release the lease expires after its TTL) and exits with status 0.
 
 mod config;
@@ -76,7 +76,7 @@
         base.mul_f64(self.rng.borrow_mut().random_range(0.5..=1.0))
     }
 
-    /// Moves on to the next address after a failed call; returns how long to wait before.
+    /// Moves on to the next address after a failed call; returns how long to wait before the next call.
     fn fail_over(&self, error: &dyn Display) -> Duration {
         tracing::warn!(address = %self.address(), %error, "list service call failed");
         self.address_index.set(self.address_index.get() + 1);
--- a/src/proxy/config/checks.rs
+++ b/src/proxy/config/checks.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The maximum number of discovery addresses: the 3 or 5 nodes of one list service, and some more during a move.
+/// The maximum number of discovery addresses: the 3 or 5 nodes of one list service, and some more while it moves.
 pub const MAX_DISCOVERY_ADDRESSES: usize = 7;
 
 /// The error for an invalid value.
--- a/src/proxy/config/file.rs
+++ b/src/proxy/config/file.rs
@@ -1,7 +1,7 @@
 //! The configuration file: its keys, and how they map to the settings of the balancer and the proxy.
 //!
-//! The keys are those of the protocol, which has its own names for some common terms. They occur only in this module:
-//! in `serde` attributes, and in errors, which name the key of an invalid value.
+//! The keys are those of the protocol, which has its own names for some common terms. Within `proxy`, the keys of the
+//! settings occur only in this module: in `serde` attributes, and in errors, which name the key of an invalid value.
 
 use super::ConfigError;
 use super::checks::{at_least_one, duration, invalid, non_negative};
@@ -16,7 +16,7 @@
 
 /// The default TTL of a session.
 const DEFAULT_TTL_MS: u64 = 3_000;
-/// The default clock rate.
+/// The default clock rate, relative to real time.
 const DEFAULT_CLOCK_RATE: f64 = 1.0;
 /// The permitted clock rates; fault tests use rates other than 1.
 const CLOCK_RATE_RANGE: RangeInclusive<f64> = 0.5..=2.0;
--- a/src/proxy/config/mod.rs
+++ b/src/proxy/config/mod.rs
@@ -100,7 +100,7 @@
     pub name: String,
     /// The TTL of its session.
     pub ttl: Duration,
-    /// The rate of its clock, for fault tests.
+    /// The rate of its clock against real time, for fault tests.
     pub clock_rate: f64,
     /// The settings in its own file, which apply until a version is published.
     pub document: Document,
--- a/src/proxy/discovery/client.rs
+++ b/src/proxy/discovery/client.rs
@@ -12,8 +12,8 @@
 /// How long a poll may take beyond its wait, and the timeout of connecting and of reading the body. It is short because
 /// discovery is near.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
-/// The maximum size of a list, enough for some 6,000 backends. A translated list needs six times as much of the 32 MB
-/// that a proxy may use.
+/// The maximum size of a list, enough for some 6,000 backends. Once translated, a list needs six times as much memory,
+/// and a proxy may use 32 MB.
 const MAX_LIST_BYTES: usize = 1 << 20;
 
 /// Why a poll failed.
--- a/src/proxy/discovery/watch.rs
+++ b/src/proxy/discovery/watch.rs
@@ -14,7 +14,7 @@
 /// How long a poll waits for changes while it is unknown whether discovery answers. It is short as such a poll only
 /// requests the current state.
 const SHORT_POLL_WAIT: Duration = Duration::from_millis(100);
-/// How long such a poll may take beyond its wait if there are other nodes to poll.
+/// How long a poll with [`SHORT_POLL_WAIT`] may take beyond its wait if there are other nodes to poll.
 const NODE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
 /// The first backoff if discovery has one address; it doubles with each failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
--- a/src/proxy/engine/attempts.rs
+++ b/src/proxy/engine/attempts.rs
@@ -86,7 +86,7 @@
         self.decide(state);
     }
 
-    /// Reports the end of an attempt to the balancer, only once, and sends the client the first response.
+    /// Reports the end of an attempt to the balancer, at most once, and sends the client the first response.
     pub(super) fn end_attempt(&self, state: &mut State, id: RequestId, number: usize, result: AttemptResult) {
         let Some(attempt) = state.attempts.0.remove(&(id, number)) else {
             return; // it has already ended
--- a/src/proxy/engine/in_flight.rs
+++ b/src/proxy/engine/in_flight.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// The maximum number of finished requests whose ids are stored. It covers the last seconds, as their attempts may
-/// still be running.
+/// The maximum number of finished requests whose ids are stored. It covers the requests of the last seconds, whose
+/// attempts may still be running.
 const MAX_FINISHED_IDS: usize = 4096;
 
 /// A request that waits for its final answer.
--- a/src/proxy/server/handler.rs
+++ b/src/proxy/server/handler.rs
@@ -27,7 +27,7 @@
 #[error("the client has disconnected")]
 pub(super) struct ClientDisconnected;
 
-/// What the handler needs to know of a request's connection.
+/// The state of a request's connection that the handler uses.
 #[derive(Clone, Copy)]
 pub(super) struct RequestContext<'a> {
     /// The number of the connection.
--- a/src/proxy/server/listener.rs
+++ b/src/proxy/server/listener.rs
@@ -18,8 +18,8 @@
 
 impl Server {
     /// Accepts connections for as long as it is polled. A connection beyond the number that may be open is accepted
-    /// too, and another one is closed for it, as the time for its request would elapse in the backlog. The next one is
-    /// accepted after that.
+    /// too, since the time for its request would elapse in the backlog. Another connection is then closed before the
+    /// next one is accepted.
     pub(super) async fn accept(self: Rc<Self>, listener: &TcpListener) {
         loop {
             let (stream, _) = sockets::accept(listener).await;
--- a/src/proxy/server/mod.rs
+++ b/src/proxy/server/mod.rs
@@ -26,8 +26,8 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// For every this many connections within the limit, one beyond the limit may be open, until there is room for it or
-/// another connection is opened instead.
+/// One connection beyond the limit may be open per this many connections within the limit. It stays open until there
+/// is room for it, or until it is closed for a newer connection.
 pub const PLACES_PER_OVERFLOW: usize = 8;
 
 /// Serves clients.
--- a/src/proxy/server/request_head.rs
+++ b/src/proxy/server/request_head.rs
@@ -18,7 +18,7 @@
 const ORDERING_KEY_COOKIE: &str = "sid";
 /// The length of a request's id, in hexadecimal digits.
 const REQUEST_ID_DIGITS: usize = 16;
-/// The hop-by-hop headers that are not forwarded, beside those with a constant.
+/// Further headers that are not forwarded; [`forwarded`] names the others by hyper's constants.
 const OTHER_HOP_BY_HOP_HEADERS: [&str; 3] = ["keep-alive", "proxy-connection", "expect"];
 
 /// What is wrong with the headers of a request. The text is sent to the client.
--- a/src/proxy/server/shutdown.rs
+++ b/src/proxy/server/shutdown.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long after SIGTERM clients are accepted at least. Clients continue to use their connections while those stay
-/// open, so half of the time for answers is reserved for that.
+/// How long after SIGTERM clients are accepted at least; half of the time for answers if that is longer. Clients use
+/// their connections while those stay open, and may have no others while another proxy restarts.
 const MIN_ACCEPT_DURATION: Duration = Duration::from_millis(550);
 /// SIGKILL comes no earlier than after the longest deadline of a class plus this delay, counted from SIGTERM.
 const KILL_DELAY: Duration = Duration::from_millis(700);
