--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -35,7 +35,7 @@
     parent: u64,
 }
 
-/// Publishes a document over `parent`, and waits until it is committed, withdrawn or superseded.
+/// Publishes a document as the successor of `parent`, and waits until it is committed, withdrawn or superseded.
 ///
 /// # Errors
 /// See [`CommandError`].
--- a/src/cli/replies.rs
+++ b/src/cli/replies.rs
@@ -90,7 +90,7 @@
     pub slot: u32,
     #[serde(rename = "said")]
     pub last_renewal: RenewalReply,
-    /// Milliseconds until it expires; `None` on a node that does not receive renewals.
+    /// Milliseconds until it expires; `None` on a node that does not accept renewals.
     #[serde(rename = "leftMs")]
     pub remaining_ms: Option<u64>,
 }
--- a/src/registry/api/cluster.rs
+++ b/src/registry/api/cluster.rs
@@ -2,7 +2,8 @@
 //!
 //! - `POST /v1/cluster/forget {"node"}` removes a node whose disk is lost from the members; the node rejoins when it is
 //!   started with an empty directory and `join = true`. `POST /v1/cluster/join` is called by the joining node itself.
-//! - `GET /v1/status` answers with the node's number, leader, members, revision and age.
+//! - `GET /v1/status` answers with the node's number, leader, members and revision, the age of its state in
+//!   milliseconds, and the numbers of listed backends, of waiting watches and of backends that it has expired.
 //! - `/raft/…` is for other nodes ([`crate::registry::raft::network`]).
 
 use super::bodies::Numbered as MemberCall;
@@ -69,7 +70,7 @@
     })
 }
 
-/// Answers with the incarnation of the log by which a node takes part, and whether this node's log holds a cluster.
+/// Answers with the incarnation of the log with which a node takes part, and whether this node belongs to a cluster.
 pub(super) fn join_status(state: &ApiState, query: &str) -> Result<Reply, RequestError> {
     let node = query::number(query, "node")?.unwrap_or(0);
     Ok(reply::ok(&state.node.join_status(node)))
--- a/src/registry/api/error.rs
+++ b/src/registry/api/error.rs
@@ -67,7 +67,7 @@
     /// The command is longer than a record of the log may be.
     #[error("a write of at most 60 KiB")]
     WriteTooLarge,
-    /// The settings version does not exist, or is no longer known.
+    /// The settings version does not exist, or is no longer retained.
     #[error("version {0} is not known (any more)")]
     UnknownVersion(u64),
     /// The store rejected the command; nothing changed.
@@ -82,7 +82,7 @@
         /// The head with its document, if there is one.
         head: Option<Box<VersionView>>,
     },
-    /// A session is no longer renewed, for this reason.
+    /// A session was not renewed, for this reason.
     #[error("{0}")]
     SessionLost(String),
     /// Another node forwarded the call to this one, which does not lead.
@@ -155,11 +155,11 @@
     detail: Option<Detail<'a>>,
 }
 
-/// What the caller needs for making its call again.
+/// A detail that the caller needs to repeat its call.
 #[derive(Serialize)]
 #[serde(rename_all = "lowercase")]
 enum Detail<'a> {
-    /// The settings version that the caller has to hold first.
+    /// The settings version that the caller must have before it can open a session.
     Hold(u64),
     /// The key of the settings document that is wrong.
     Key(&'a str),
--- a/src/registry/api/fleet.rs
+++ b/src/registry/api/fleet.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/fleet`: the sessions, and those that have ended, as the leader knows them.
+//! `GET /v1/fleet`: the live sessions and those that have ended, from the leader's state.
 
 use super::error::RequestError;
 use super::forward;
@@ -52,8 +52,8 @@
     ago_ms: u64,
 }
 
-/// Answers with the state of the fleet as the leader knows it, since only the leader accepts renewals. Where the leader
-/// is not reached or another node has `forwarded` the call, answers with the state that this node knows.
+/// Answers with the leader's state of the fleet, since only the leader accepts renewals. Where the leader is not
+/// reached or another node has `forwarded` the call, answers with this node's state.
 pub(super) async fn fleet(state: &ApiState, forwarded: bool) -> Result<Reply, RequestError> {
     let leader = state.node.leader().filter(|leader| *leader != state.node.id() && !forwarded);
     if let Some(leader) = leader {
--- a/src/registry/api/mod.rs
+++ b/src/registry/api/mod.rs
@@ -40,7 +40,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Maximum size of the body of a call.
+/// Maximum size of the body of a call, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
 /// The header with the age of the node's state, in milliseconds ([`Node::staleness`]).
 const AGE_HEADER: &str = "x-list-age-ms";
--- a/src/registry/api/renewals.rs
+++ b/src/registry/api/renewals.rs
@@ -6,7 +6,7 @@
 //! grants and sessions that are no longer valid. `/v1/heartbeat`, `/v1/lease/keepalive` and `/v1/session/renew` renew
 //! one kind each, and are answered with an error where something is lost.
 //!
-//! Of all this only the acknowledgement of an offered settings version is written to the log.
+//! Only the acknowledgement of an offered settings version is written to the log.
 
 use super::error::RequestError;
 use super::forward::{ForwardError, KEEPALIVE_PATH, MAX_RENEWALS};
@@ -94,7 +94,7 @@
     Ok(Renewals { sessions, ..Renewals::default() })
 }
 
-/// Renews what a call names, on this node where it leads, otherwise at the leader. A call that another node has
+/// Renews the items of a call, on this node where it leads, otherwise at the leader. A call that another node has
 /// `forwarded` is not forwarded again.
 pub(super) async fn renew(
     state: &ApiState,
--- a/src/registry/api/sessions.rs
+++ b/src/registry/api/sessions.rs
@@ -1,7 +1,7 @@
 //! The calls for sessions of proxies and for the settings that are written to the log.
 //!
 //! - `POST /v1/session/open {"name","ttlMs","holds"}` is answered `{"revision","session","slot","agreed","list"}`, or
-//!   409 with `"hold":V` where the proxy has to hold version V first.
+//!   409 with `"hold":V` where the proxy must have version V first.
 //! - `POST /v1/session/close {"session"}` ends a session; `POST /v1/session/refuse {"session"?,"name","version","why"}`
 //!   reports that a proxy cannot apply a version.
 //! - `POST /v1/settings {"parent","by","note"?,"document"}` publishes a version. It is answered
--- a/src/registry/api/settings.rs
+++ b/src/registry/api/settings.rs
@@ -79,7 +79,7 @@
     }))
 }
 
-/// Answers with every version that is still known, latest first.
+/// Answers with every retained version, latest first.
 pub(super) fn history(state: &ApiState) -> Reply {
     let store = state.node.store();
     let agreement = store.agreement();
--- a/src/registry/api/settings_view.rs
+++ b/src/registry/api/settings_view.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A version with its document, if it is still known.
+    /// A version with its document, if it is still retained.
     pub(super) fn with_document(number: u64, agreement: &Agreement) -> Option<Self> {
         let version = agreement.version(number)?;
         let document = Some(version.document.clone());
--- a/src/registry/api/state.rs
+++ b/src/registry/api/state.rs
@@ -20,9 +20,9 @@
     pub(super) watches: Gauge,
     /// Waiting writes.
     writes: Gauge,
-    /// The latest watch event of the list, by the revisions before and after its changes.
+    /// The JSON of the latest watch event of the list, by the revisions before and after its changes.
     pub(super) list_event_body: LatestBody<(u64, u64)>,
-    /// The latest state of the agreement, by its revision and the versions that the watcher has.
+    /// The JSON of the agreement's latest state, by its revision and the versions that the watcher has.
     pub(super) agreement_body: LatestBody<(u64, String)>,
     /// Renewals that wait to be forwarded to the leader.
     pub(super) forward_queue: Rc<ForwardQueue>,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Counts a watch for as long as the guard lives.
+    /// Counts a watch until the returned guard is dropped.
     ///
     /// # Errors
     /// `TooManyWatches` where the limit of waiting watches is reached.
@@ -51,7 +51,7 @@
         self.watches.enter().ok_or(RequestError::TooManyWatches)
     }
 
-    /// Counts a write for as long as the guard lives.
+    /// Counts a write until the returned guard is dropped.
     ///
     /// # Errors
     /// `TooManyWrites` where the limit of waiting writes is reached.
@@ -106,13 +106,13 @@
 }
 
 impl<K: PartialEq> LatestBody<K> {
-    /// The body for `key`: the latest one, or what `make` returns.
+    /// The latest body if it was made for `key`, otherwise the body that `make` returns.
     ///
     /// # Errors
     /// The error of `make`.
     pub(super) fn get_or_make<E>(&self, key: K, make: impl FnOnce() -> Result<Bytes, E>) -> Result<Bytes, E> {
-        if let Some((known, body)) = self.latest.borrow().as_ref()
-            && *known == key
+        if let Some((latest_key, body)) = self.latest.borrow().as_ref()
+            && *latest_key == key
         {
             return Ok(body.clone());
         }
--- a/src/registry/api/writes.rs
+++ b/src/registry/api/writes.rs
@@ -21,8 +21,8 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Maximum size of a command as JSON: together with the log's framing it still fits into a record. A longer one would
-/// stop the node that logs it.
+/// Maximum size of a command as JSON, in bytes: together with the log's framing it still fits into a record. A longer
+/// one would stop the node that logs it.
 const MAX_COMMAND_BYTES: usize = 60 << 10;
 
 /// The reply to a write: the result of its command.
@@ -126,7 +126,7 @@
     }
 }
 
-/// Proposes a command to this node, and makes the change of members that belongs to it.
+/// Proposes a command to this node, and makes the change of members that the command requires.
 async fn propose(state: &ApiState, command: &Command, timeout: Duration) -> Result<Applied, ProposeError> {
     let node = &state.node;
     if let Command::Forget { node: former } = command
--- a/src/registry/clock.rs
+++ b/src/registry/clock.rs
@@ -1,11 +1,11 @@
-//! The log's clock: a leader stamps its time into commands, and TTLs are measured by it.
+//! The log's clock: the leader timestamps commands with it, and TTLs are measured by it.
 //!
 //! It is not the time of day, which can jump. It counts the time during which there was a leader: a leader continues
-//! from the latest applied stamp at the rate of its monotonic clock, and counts at most `max_step` ([`LogClock::new`])
-//! between two readings, which are made at least once per expiry interval. Therefore
+//! from the latest applied timestamp at the rate of its monotonic clock, and counts at most `max_step`
+//! ([`LogClock::new`]) between two readings, which are made at least once per expiry interval. Therefore
 //! - it runs faster than real time at most by the rate error of the leader's clock, and nothing expires early because a
 //!   clock jumped, a machine slept, or a stopped process (SIGSTOP) continued;
-//! - time without a leader does not count, so entries and leases live longer by at least the length of an election. An
+//! - time without a leader does not count, so entries and leases expire later by at least the length of an election. An
 //!   election can thus delay a new grant of a lease, but never make it earlier.
 
 use std::time::Duration;
@@ -28,7 +28,7 @@
     }
 
     /// Advances the clock on the leader and returns the time of its next command, in milliseconds; `applied_ms` is the
-    /// latest applied stamp. Where the monotonic clock stood still or went back, no time is counted.
+    /// latest applied timestamp. Where the monotonic clock did not advance or went back, no time is counted.
     pub fn advance_as_leader(&mut self, monotonic: Duration, applied_ms: u64) -> u64 {
         let elapsed = monotonic.saturating_sub(self.last_reading).min(self.max_step);
         self.last_reading = monotonic;
@@ -36,7 +36,7 @@
         self.now.as_millis() as u64
     }
 
-    /// Sets the clock of a node that does not lead to the latest applied stamp; as a leader it would continue from
+    /// Sets the clock of a node that does not lead to the latest applied timestamp; as a leader it would continue from
     /// there.
     pub fn advance_as_follower(&mut self, monotonic: Duration, applied_ms: u64) {
         (self.now, self.last_reading) = (Duration::from_millis(applied_ms), monotonic);
--- a/src/registry/connections.rs
+++ b/src/registry/connections.rs
@@ -49,7 +49,7 @@
     eviction: Notify,
 }
 
-/// One connection, counted for as long as it lives.
+/// One connection, counted until it is dropped.
 pub struct Connection {
     connections: Rc<Connections>,
     state: Rc<ConnectionState>,
--- a/src/registry/liveness.rs
+++ b/src/registry/liveness.rs
@@ -6,16 +6,16 @@
 //! two rules apply:
 //!
 //! - **Grace period.** A leader lets nothing expire before a TTL has passed since it began to lead, which is when it
-//!   has applied an entry of its own term ([`Liveness::become_leader`]). Whatever the previous leader renewed has the
-//!   whole TTL to renew with the new leader.
+//!   has applied an entry of its own term ([`Liveness::become_leader`]). Every item that the previous leader renewed
+//!   thus has a full TTL in which to be renewed at the new leader.
 //! - **Quorum lease.** A leader answers a renewal only while no other can have been elected
 //!   ([`crate::registry::raft::quorum_lease`]), so every renewal that it answers comes before the next leader begins.
 //!
 //! Let a renewal be sent at `s` and accepted by a leader at `r >= s`, in real time. That leader lets the renewed item
 //! expire at `r + ttl` at the earliest. By the second rule another leader begins at `b >= r`, and by the first rule it
-//! lets the item expire at `b + ttl >= r + ttl` at the earliest. So the item lives until at least `s + ttl` whichever
-//! node leads, and holders rely on this ([`crate::lease`]). An item that is no longer renewed ends after its last
-//! renewal within at most a TTL, the time without a leader, another TTL and an expiry interval; without a change of
+//! lets the item expire at `b + ttl >= r + ttl` at the earliest. So the item is valid until at least `s + ttl`
+//! whichever node leads, and holders rely on this ([`crate::lease`]). An item that is no longer renewed ends after its
+//! last renewal within at most a TTL, the time without a leader, another TTL and an expiry interval; without a change of
 //! leader, within a TTL and an expiry interval.
 //!
 //! Sources: Gray and Cheriton, "Leases" (SOSP 1989); Burrows, "The Chubby lock service" (OSDI 2006), section 2.9, for the
@@ -72,7 +72,7 @@
     pub instances: Vec<String>,
     /// Grants that have expired, were released or were replaced by a new grant.
     pub grants: Vec<GrantId>,
-    /// Sessions that are no longer renewed, and why.
+    /// Sessions that were not renewed, and why.
     pub sessions: BTreeMap<u64, String>,
 }
 
@@ -90,6 +90,7 @@
 struct Leadership {
     /// The Raft term.
     term: u64,
+    /// When the node began to lead, on the log's clock in milliseconds.
     since_ms: u64,
 }
 
@@ -116,11 +117,12 @@
         }
     }
 
-    /// When an item expires that was last renewed here at `renewed_at_ms`; never while this node does not lead.
+    /// When an item that was last renewed here at `renewed_at_ms` expires, on the log's clock in milliseconds;
+    /// `u64::MAX` while this node does not lead.
     fn deadline(&self, renewed_at_ms: Option<u64>, expiry: Expiry) -> u64 {
         let Some(Leadership { since_ms, .. }) = self.leadership else { return u64::MAX };
-        let last_contact_ms = renewed_at_ms.unwrap_or(0).max(since_ms);
-        expiry.expires_at_ms.max(last_contact_ms.saturating_add(expiry.ttl_ms))
+        let ttl_start_ms = renewed_at_ms.unwrap_or(0).max(since_ms);
+        expiry.expires_at_ms.max(ttl_start_ms.saturating_add(expiry.ttl_ms))
     }
 
     fn instance_deadline(&self, id: &str, expiry: Expiry) -> u64 {
@@ -136,7 +138,7 @@
         self.deadline(self.sessions.get(&id).map(|latest| latest.at_ms), expiry)
     }
 
-    /// Renews what is in the store and has not expired; returns what is lost.
+    /// Renews the items that are in the store and may still be renewed; returns the others.
     pub fn renew(&mut self, renewals: &Renewals, store: &Store, now_ms: u64) -> Lost {
         let mut lost = Lost::default();
         for id in &renewals.instances {
@@ -163,13 +165,13 @@
         if store.instance_expiry(id).is_none() {
             return false;
         }
-        let last_contact_ms = self.instances.entry(id.to_string()).or_default();
-        *last_contact_ms = now_ms.max(*last_contact_ms);
+        let renewed_at_ms = self.instances.entry(id.to_string()).or_default();
+        *renewed_at_ms = now_ms.max(*renewed_at_ms);
         true
     }
 
-    /// Renews a grant. One that has expired is lost even if its end is not written yet, because its end may be in
-    /// flight.
+    /// Renews a grant. One that has expired is lost even if its end is not written yet, because the command that ends
+    /// it may be in flight.
     fn renew_grant(&mut self, id: &GrantId, store: &Store, now_ms: u64) -> bool {
         let grant = store.lease(&id.name).filter(|grant| grant.token == id.token);
         let is_live = grant.is_some_and(|grant| now_ms < self.grant_deadline(id, grant.expiry()));
@@ -179,8 +181,8 @@
         is_live
     }
 
-    /// Renews a session, by the same rule. One that has not acknowledged the offered version in time is no longer
-    /// renewed.
+    /// Renews a session. One that has expired is lost, as a grant is, and one that has not acknowledged the offered
+    /// version in time is no longer renewed.
     fn renew_session(&mut self, renewal: &Renewal, store: &Store, now_ms: u64) -> Result<(), String> {
         let id = renewal.session;
         let agreement = store.agreement();
@@ -201,12 +203,14 @@
         self.sessions.get(&session).map(|latest| latest.renewal)
     }
 
-    /// When a session expires unless renewed, on the log's clock in milliseconds.
+    /// When a session expires unless renewed, on the log's clock in milliseconds; `u64::MAX` while this node does not
+    /// lead.
     pub fn session_expires_at_ms(&self, id: u64, session: &Session) -> u64 {
         self.session_deadline(id, session)
     }
 
-    /// When a grant expires unless renewed, on the log's clock in milliseconds.
+    /// When a grant expires unless renewed, on the log's clock in milliseconds; `u64::MAX` while this node does not
+    /// lead.
     pub fn grant_expires_at_ms(&self, id: &GrantId, grant: &Grant) -> u64 {
         self.grant_deadline(id, grant.expiry())
     }
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Removes the renewals of what is no longer in the store.
+    /// Removes the renewals of items that are no longer in the store.
     pub fn retain_live(&mut self, store: &Store) {
         self.instances.retain(|id, _| store.instance_expiry(id).is_some());
         self.grants.retain(|id, _| store.lease(&id.name).is_some_and(|grant| grant.token == id.token));
--- a/src/registry/liveness/tests.rs
+++ b/src/registry/liveness/tests.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn sessions_live_by_renewal_and_keep_the_latest_report() {
+fn sessions_expire_unless_renewed_and_keep_the_latest_report() {
     let mut store = store_with_instances(&[]);
     let open = state::Command::Open { name: "p".into(), ttl_ms: TTL_MS, acknowledged: 0 };
     store.apply(&Command::ChangeAgreement { change: open, at_ms: 0 }).expect("opened");
--- a/src/registry/node/membership.rs
+++ b/src/registry/node/membership.rs
@@ -2,7 +2,7 @@
 //!
 //! A node that has lost its votes and entries must not vote: it could elect a leader that lacks an acknowledged write.
 //! Therefore the incarnation of each node's log is committed, and a node with a new log first asks the others whether
-//! another log of its number has taken part.
+//! another log with its number has taken part.
 
 use super::{Node, NodeError, RETRY_INTERVAL};
 use crate::http_client::HttpClient;
@@ -24,13 +24,13 @@
 /// Why a change of the members failed.
 pub type MembershipError = RaftError<NodeId, ClientWriteError<NodeId, openraft::EmptyNode>>;
 
-/// What a node knows about the membership of another; on the wire `[incarnation, has_cluster]`.
+/// A node's record of the membership of another; on the wire `[incarnation, has_cluster]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Option<u64>, bool)", into = "(Option<u64>, bool)")]
 pub struct JoinStatus {
     /// The incarnation of the log with which the other node takes part, if it does.
     pub incarnation: Option<u64>,
-    /// Whether the log of the answering node holds a cluster.
+    /// Whether the log of the answering node is not new, which means that the node belongs to a cluster.
     pub has_cluster: bool,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Node {
-    /// Makes the node take part in the cluster. At its first start it checks that no other log of this node's number
+    /// Makes the node take part in the cluster. At its first start it checks that no other log with this node's number
     /// has taken part, and founds the cluster with its peers.
     ///
     /// # Errors
@@ -56,8 +56,8 @@
         let has_cluster = self.log.is_new() && self.ask_peers_for_join_status().await?;
         self.admitted.set(true);
         if !self.log.is_new() && !self.peers.is_empty() {
-            // The node may have answered a leader's call just before it last stopped, and no longer knows: see
-            // `quorum_lease`.
+            // The node may have accepted a leader's call just before it last stopped, and has no record of the time:
+            // see `quorum_lease`.
             tokio::time::sleep(self.election_timeout).await;
         }
         self.may_vote.set(true);
@@ -73,10 +73,10 @@
     }
 
     /// Asks other nodes about this one until enough of them have answered, or its log is no longer new. Returns whether
-    /// any of them holds a cluster.
+    /// any of them belongs to a cluster.
     ///
     /// The fact that a node has taken part is committed on a quorum of q of n nodes, of which at least q - 1 are
-    /// others. Among any n - q + 1 others at least one therefore knows it.
+    /// others. Therefore at least one of any n - q + 1 others has a record of it.
     async fn ask_peers_for_join_status(&self) -> Result<bool, NodeError> {
         let nodes = self.peers.len() + 1;
         let quorum = nodes / 2 + 1;
@@ -105,7 +105,7 @@
         Ok(has_cluster)
     }
 
-    /// Asks the node at `address` what it knows about this one; `None` where it does not answer.
+    /// Asks the node at `address` for its record of this node's membership; `None` where it does not answer.
     async fn join_status_at(&self, address: SocketAddr) -> Option<JoinStatus> {
         let path = format!("/raft/joined?node={}", self.id);
         let request = Request::get(path).header("host", "list").body(Full::new(Bytes::new()));
@@ -139,7 +139,7 @@
         }
     }
 
-    /// What this node knows about the membership of `node`.
+    /// This node's record of the membership of `node`.
     pub fn join_status(&self, node: NodeId) -> JoinStatus {
         JoinStatus { incarnation: self.store().incarnation_of(node), has_cluster: !self.log.is_new() }
     }
--- a/src/registry/node/mod.rs
+++ b/src/registry/node/mod.rs
@@ -45,9 +45,10 @@
 const CLOCK_STEP_TOLERANCE: Duration = Duration::from_millis(400);
 /// The monotonic clock's reading at the start, in seconds: large enough that a fault test can set the clock back.
 const CLOCK_START_S: f64 = 1e9;
-/// An acknowledgement of entries waits for their sync for at most the heartbeat interval divided by this. The leader's
-/// call ends within one heartbeat interval, so the waits of follower and leader and the network round trip fit into it.
-const SYNC_TIMEOUT_DIVISOR: u32 = 4;
+/// An acknowledgement of all entries waits for their sync for at most the heartbeat interval divided by this. The
+/// leader's call ends within one heartbeat interval, so the waits of follower and leader and the network round trip fit
+/// into it.
+const FULL_ACK_TIMEOUT_DIVISOR: u32 = 4;
 /// The wait between two attempts of an action that needs a leader or other nodes.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -128,7 +129,7 @@
         let election_timeout = Duration::from_millis(config.election_ms[1]);
         let durable_log = DurableLog {
             log: log.clone(),
-            full_ack_timeout: Duration::from_millis(config.heartbeat_ms) / SYNC_TIMEOUT_DIVISOR,
+            full_ack_timeout: Duration::from_millis(config.heartbeat_ms) / FULL_ACK_TIMEOUT_DIVISOR,
             max_leader_stall: election_timeout,
         };
         if !config.peers.is_empty() {
@@ -231,7 +232,7 @@
         self.raft.metrics().borrow().running_state.as_ref().err().map(ToString::to_string)
     }
 
-    /// The time since this node last had contact with a leader or, as the leader, with a quorum. Its store holds
+    /// The time since this node last had contact with a leader or, as the leader, with a quorum. Its store contains
     /// everything that was acknowledged up to then, except what was still being replicated. Zero for a node without
     /// peers.
     pub fn staleness(&self) -> Duration {
--- a/src/registry/node/proposal.rs
+++ b/src/registry/node/proposal.rs
@@ -47,11 +47,11 @@
         Ok(applied)
     }
 
-    /// Restarts the TTL of a registered backend when its registration is answered: the caller knows of it only from
-    /// then on, and the commit may have taken part of the TTL.
+    /// Restarts the TTL of a registered backend when its registration is answered: the caller can renew it only from
+    /// then on, and the commit may have used up part of the TTL.
     fn renew_registered(&self, id: String) {
         let registered = Renewals { instances: vec![id], ..Renewals::default() };
-        // Where this node no longer leads, the backend has its whole TTL from the moment when the next leader begins.
+        // Where this node no longer leads, the backend has a full TTL from the time when the next leader begins.
         if let Err(error) = self.renew(&registered) {
             tracing::debug!(%error, "registration committed, but this node no longer leads");
         }
--- a/src/registry/node/renewal.rs
+++ b/src/registry/node/renewal.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// What this node knows about a session.
+/// The state of a session on this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SessionView {
     /// The last report of its proxy.
@@ -57,7 +57,7 @@
         Ok(RenewalOutcome { revision: store.revision(), agreed, list, lost })
     }
 
-    /// What this node knows about a session at the log's time `now_ms`.
+    /// The state of a session on this node at the log's time `now_ms`.
     pub fn session_view(&self, id: u64, session: &Session, now_ms: u64) -> SessionView {
         let liveness = self.liveness.borrow();
         let expires_at_ms = Some(liveness.session_expires_at_ms(id, session)).filter(|at| *at < u64::MAX);
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Advances the log's clock every `interval` and, as the leader, commits the expiry of what was not renewed. Runs
-    /// for as long as the node lives.
+    /// Advances the log's clock every `interval` and, as the leader, commits the expiry of what was not renewed. Never
+    /// returns.
     pub async fn run_expiry(&self, interval: Duration) {
         let mut ticks = tokio::time::interval(interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -130,13 +130,13 @@
     /// Checks that this node may accept renewals, and returns the log's time in milliseconds.
     ///
     /// # Errors
-    /// As [`Node::exclusive_term`]; also `NotLeader` while what an older version committed still expires without a
-    /// command.
+    /// As [`Node::exclusive_term`]; also `NotLeader` until [`Command::ExpireByCommand`] has been applied, because
+    /// entries committed by an older build still expire without a command.
     fn accept_renewals(&self) -> Result<u64, ProposeError> {
         let term = match self.exclusive_term() {
             Ok(term) => term,
             Err(error) => {
-                // What can't be renewed meanwhile gets its whole TTL once this node leads again.
+                // Items that can't be renewed meanwhile get a full TTL once this node leads again.
                 self.liveness.borrow_mut().become_follower();
                 return Err(error);
             }
--- a/src/registry/node/watch.rs
+++ b/src/registry/node/watch.rs
@@ -36,8 +36,8 @@
         let _ = tokio::time::timeout(RETRY_INTERVAL, metrics.changed()).await;
     }
 
-    /// Records when a quorum last answered this node as the leader, and logs changes of the leader. Runs for as long as
-    /// the node lives.
+    /// Records when a quorum last answered this node as the leader, and logs changes of the leader. Runs until Raft
+    /// stops.
     pub async fn track_quorum_contact(&self) {
         let mut metrics = self.raft.metrics();
         let mut known_leader = None;
--- a/src/registry/raft/disk_error.rs
+++ b/src/registry/raft/disk_error.rs
@@ -78,7 +78,7 @@
         /// The index that follows that of the entry before it.
         expected: u64,
     },
-    /// The log is older or shorter than the mark says.
+    /// The log is older or shorter than the mark states.
     #[error(
         "the log ends here, at generation {generation}, but {durable_length} bytes of generation \
          {durable_generation} were acknowledged"
--- a/src/registry/raft/log/acknowledgement.rs
+++ b/src/registry/raft/log/acknowledgement.rs
@@ -31,7 +31,7 @@
     /// call arrived. `None` if no entry could be made durable.
     ///
     /// Entries that a later leader has replaced meanwhile may be acknowledged to the earlier leader: it cannot commit
-    /// them, as the later leader was elected by a quorum of which no member had them.
+    /// them, as no member of the quorum that elected the later leader had them.
     pub async fn acknowledge(
         &self,
         range: AppendRange,
--- a/src/registry/raft/log/mod.rs
+++ b/src/registry/raft/log/mod.rs
@@ -97,7 +97,7 @@
 
 /// The identity of a log.
 #[derive(Clone, Copy)]
-struct Owner {
+struct LogIdentity {
     node: NodeId,
     /// A random number, drawn when the log was first created.
     incarnation: u64,
@@ -109,7 +109,7 @@
     state: Arc<Mutex<PersistedState>>,
     /// The queue of the writer thread; `None` if the log is in memory only.
     jobs: Option<Sender<Job>>,
-    owner: Owner,
+    identity: LogIdentity,
     durability: Durability,
     elections: ElectionGate,
     /// Whether this node has peers.
@@ -137,14 +137,14 @@
 impl Log {
     /// Creates a log in memory only, for a node without peers.
     pub fn in_memory(node: NodeId) -> Self {
-        Self::new(Arc::default(), None, Owner { node, incarnation: 0 })
+        Self::new(Arc::default(), None, LogIdentity { node, incarnation: 0 })
     }
 
-    fn new(state: Arc<Mutex<PersistedState>>, jobs: Option<Sender<Job>>, owner: Owner) -> Self {
+    fn new(state: Arc<Mutex<PersistedState>>, jobs: Option<Sender<Job>>, identity: LogIdentity) -> Self {
         Self {
             state,
             jobs,
-            owner,
+            identity,
             durability: Durability::default(),
             elections: ElectionGate::default(),
             is_replicated: Arc::default(),
@@ -164,7 +164,7 @@
 
     /// The random number drawn when the log was first created: it distinguishes a log from a later one in its place.
     pub fn incarnation(&self) -> u64 {
-        self.owner.incarnation
+        self.identity.incarnation
     }
 
     /// Controls whether the node may stand for election, which depends on how long its votes take to become durable.
@@ -191,7 +191,7 @@
     /// A vote as it is stored: a node with peers never leads by its own vote after a restart, whichever build it
     /// restarts with, because it may have lost entries that it sent while it was the leader.
     fn vote_to_store(&self, mut vote: Vote) -> Vote {
-        if self.is_replicated.load(Ordering::SeqCst) && vote.leader_id.node_id == self.owner.node {
+        if self.is_replicated.load(Ordering::SeqCst) && vote.leader_id.node_id == self.identity.node {
             vote.committed = false;
         }
         vote
@@ -255,7 +255,7 @@
             return Ok(());
         }
         state.generation += 1;
-        let contents = state.encode(self.owner)?;
+        let contents = state.encode(self.identity)?;
         self.send(Job::Rewrite(contents, state.generation))
     }
 }
--- a/src/registry/raft/log/recovery.rs
+++ b/src/registry/raft/log/recovery.rs
@@ -2,7 +2,7 @@
 //!
 //! An incomplete record at the very end, *beyond the length in the mark*, is a write that was never acknowledged: it
 //! is cut off and reported. Any other damage stops the start with an error that names the file and the byte: a wrong
-//! checksum, a log shorter than the mark says, a log of an older generation than the mark's, entries whose indexes
+//! checksum, a log shorter than the mark states, a log of an older generation than the mark's, entries whose indexes
 //! are not consecutive. This also detects a log that was cut at the end of a record, which a checksum alone cannot,
 //! so a node that lost acknowledged entries or its vote never takes part in a quorum.
 
@@ -13,7 +13,7 @@
 use super::record::{MAX_RECORD_BYTES, Record};
 use super::state::PersistedState;
 use super::writer::{LogFiles, Writer};
-use super::{LOG_FILE, Log, Owner, Recovery};
+use super::{LOG_FILE, Log, LogIdentity, Recovery};
 use crate::os::files;
 use std::fs::OpenOptions;
 use std::io;
@@ -28,7 +28,7 @@
 struct LogContents {
     state: PersistedState,
     /// The log's identity; `None` if the file has no complete record.
-    owner: Option<Owner>,
+    identity: Option<LogIdentity>,
     /// Bytes up to the end of the last complete record.
     length: usize,
     /// Bytes of an incomplete record after that.
@@ -50,8 +50,8 @@
     let stored_mark = mark::read(dir)?;
     let contents = parse(&path, &bytes)?;
     check_against_mark(&path, &contents, stored_mark.mark.durable)?;
-    if let Some(owner) = contents.owner.filter(|owner| owner.node != node) {
-        return Err(DiskError::OtherNode { path: dir.into(), found: owner.node, expected: node });
+    if let Some(identity) = contents.identity.filter(|identity| identity.node != node) {
+        return Err(DiskError::OtherNode { path: dir.into(), found: identity.node, expected: node });
     }
     start(dir, node, contents, stored_mark)
 }
@@ -69,9 +69,9 @@
         frame::read(&bytes[offset..], MAX_RECORD_BYTES).map_err(|error| corrupt(offset, error.into()))?
     {
         let record = serde_json::from_slice(body).map_err(|error| corrupt(offset, error.into()))?;
-        match (record, contents.owner) {
+        match (record, contents.identity) {
             (Record::Header { node, incarnation, generation }, None) => {
-                contents.owner = Some(Owner { node, incarnation });
+                contents.identity = Some(LogIdentity { node, incarnation });
                 contents.state.generation = generation;
             }
             (_, None) => return Err(corrupt(0, Corruption::MissingHeader)),
@@ -110,15 +110,15 @@
     stored_mark: StoredMark,
 ) -> Result<(Log, Recovery), DiskError> {
     let path = dir.join(LOG_FILE);
-    let LogContents { mut state, owner, mut length, torn_bytes } = contents;
+    let LogContents { mut state, identity, mut length, torn_bytes } = contents;
     // The commit in the mark is limited to the end of the log; after a power loss, the mark may be an older one.
     state.committed = stored_mark.mark.committed.min(state.last_log_id());
     let recovery = Recovery { entries: state.entries.len(), torn_bytes };
-    let is_first_start = owner.is_none();
-    let owner = owner.unwrap_or_else(|| Owner { node, incarnation: rand::random() });
+    let is_first_start = identity.is_none();
+    let identity = identity.unwrap_or_else(|| LogIdentity { node, incarnation: rand::random() });
     let log_file = if is_first_start {
         state.generation = 1;
-        let encoded = state.encode(owner).map_err(DiskError::io(&path))?;
+        let encoded = state.encode(identity).map_err(DiskError::io(&path))?;
         length = encoded.len();
         files::replace(dir, LOG_FILE, &encoded).map_err(DiskError::io(&path))?
     } else {
@@ -135,6 +135,6 @@
     let mut log_files = LogFiles { dir: dir.into(), log_file, mark_file, mark };
     log_files.write_mark().map_err(DiskError::io(&mark::path(dir)))?;
     let state = Arc::new(Mutex::new(state));
-    let jobs = Writer::spawn(log_files, state.clone(), owner);
-    Ok((Log::new(state, Some(jobs), owner), recovery))
+    let jobs = Writer::spawn(log_files, state.clone(), identity);
+    Ok((Log::new(state, Some(jobs), identity), recovery))
 }
--- a/src/registry/raft/log/state.rs
+++ b/src/registry/raft/log/state.rs
@@ -2,7 +2,7 @@
 
 use super::super::disk_error::Corruption;
 use super::super::{Entry, LogId, Vote};
-use super::Owner;
+use super::LogIdentity;
 use super::record::Record;
 use std::collections::BTreeMap;
 use std::io;
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     /// As [`Record::append_to`].
-    pub(super) fn encode(&mut self, Owner { node, incarnation }: Owner) -> io::Result<Vec<u8>> {
+    pub(super) fn encode(&mut self, LogIdentity { node, incarnation }: LogIdentity) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
         Record::Header { node, incarnation, generation: self.generation }.append_to(&mut bytes)?;
         if let Some(vote) = self.vote {
--- a/src/registry/raft/log/storage.rs
+++ b/src/registry/raft/log/storage.rs
@@ -35,7 +35,7 @@
         let stored = self.vote_to_store(*vote);
         let saved = lock(&self.state).vote;
         if saved.is_some_and(|saved| saved.leader_id == stored.leader_id) {
-            // This node's own vote is durable already; whether a quorum granted it need not be.
+            // This node's own vote is durable already; the fact that a quorum granted it need not be durable.
             let written = self.write(vec![Record::Vote(stored)], Completion::None);
             return Ok(written.map_err(|e| StorageIOError::write_vote(&e))?);
         }
@@ -46,7 +46,7 @@
         self.elections.on_vote_durable(number, elapsed);
         let (term, voted_for, elapsed_ms) =
             (vote.leader_id.term, vote.leader_id.node_id, elapsed.as_millis() as u64);
-        tracing::info!(node = self.owner.node, term, voted_for, elapsed_ms, "vote made durable");
+        tracing::info!(node = self.identity.node, term, voted_for, elapsed_ms, "vote made durable");
         Ok(())
     }
 
--- a/src/registry/raft/log/writer.rs
+++ b/src/registry/raft/log/writer.rs
@@ -7,7 +7,7 @@
 use super::super::LogId;
 use super::mark::{Mark, MarkFile, Position};
 use super::state::PersistedState;
-use super::{Completion, LOG_FILE, Owner, lock};
+use super::{Completion, LOG_FILE, LogIdentity, lock};
 use crate::os::files;
 use std::fs::File;
 use std::io;
@@ -69,14 +69,18 @@
     files: LogFiles,
     jobs: Receiver<Job>,
     state: Arc<Mutex<PersistedState>>,
-    owner: Owner,
+    identity: LogIdentity,
 }
 
 impl Writer {
     /// Starts the thread; it ends once the returned sender and its clones are dropped.
-    pub(super) fn spawn(files: LogFiles, state: Arc<Mutex<PersistedState>>, owner: Owner) -> Sender<Job> {
+    pub(super) fn spawn(
+        files: LogFiles,
+        state: Arc<Mutex<PersistedState>>,
+        identity: LogIdentity,
+    ) -> Sender<Job> {
         let (sender, jobs) = channel();
-        let mut writer = Self { files, jobs, state, owner };
+        let mut writer = Self { files, jobs, state, identity };
         std::thread::spawn(move || writer.run());
         sender
     }
@@ -145,6 +149,6 @@
             }
         }
         state.generation += 1;
-        (state.encode(self.owner), state.generation)
+        (state.encode(self.identity), state.generation)
     }
 }
--- a/src/registry/raft/network.rs
+++ b/src/registry/raft/network.rs
@@ -29,7 +29,7 @@
 /// How long to wait before calling an unreachable peer again.
 const PEER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A node's log, with the limits for acknowledging only those appended entries that are durable in it.
+/// A node's log, with the limits on how long the node waits until appended entries are durable in it.
 #[derive(Clone)]
 pub struct DurableLog {
     /// The node's log.
--- a/src/registry/raft/quorum_lease.rs
+++ b/src/registry/raft/quorum_lease.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether `this` node of `members`, as the leader of `term`, knows at `now` that no other node leads;
+    /// Whether it is certain at `now` that no node leads but `this`, the leader of `term` among `members`;
     /// `election_timeout` is as for [`lease_duration`].
     pub fn is_valid(
         &self,
--- a/src/registry/server.rs
+++ b/src/registry/server.rs
@@ -65,7 +65,7 @@
     std::future::pending().await
 }
 
-/// Accepts connections for as long as the node lives.
+/// Accepts connections; never returns.
 async fn accept(listener: TcpListener, api: Api, connections: Rc<Connections>) {
     loop {
         // Accepted before there is capacity, so that no connection is evicted unless a new one waits.
--- a/src/registry/store/command.rs
+++ b/src/registry/store/command.rs
@@ -65,7 +65,7 @@
     /// expired. The fencing token of each grant is the revision that the grant creates, so tokens only grow. A holder
     /// that acquires again while it holds the lease gets a new grant, and its old token becomes invalid.
     Acquire {
-        /// The duty's name.
+        /// The lease's name.
         name: String,
         /// A name that identifies the acquiring process uniquely.
         holder: String,
@@ -77,7 +77,7 @@
     /// Renews the grant with `token` for its TTL from now; rejected once it has expired (written by builds before
     /// [`Command::ExpireByCommand`]).
     KeepAlive {
-        /// The duty's name.
+        /// The lease's name.
         name: String,
         /// The token of the grant.
         token: u64,
@@ -107,7 +107,7 @@
     },
     /// Releases a lease, so that another process may acquire it at once.
     Release {
-        /// The duty's name.
+        /// The lease's name.
         name: String,
         /// The token of the grant.
         token: u64,
--- a/src/registry/store/error.rs
+++ b/src/registry/store/error.rs
@@ -36,7 +36,7 @@
     /// Another process holds the lease, and it has not expired.
     #[error("lease {name} is held by {holder} until {expires_at_ms} (token {token})")]
     Held {
-        /// The duty's name.
+        /// The lease's name.
         name: String,
         /// The process that holds it.
         holder: String,
--- a/src/registry/store/lease.rs
+++ b/src/registry/store/lease.rs
@@ -1,4 +1,4 @@
-//! Grants of leases: who holds which duty, under which fencing token, and until when.
+//! Grants of leases: which process holds each lease, under which fencing token, and until when.
 
 use super::StoreError;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 /// A grant of a lease, by its name and token.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantId {
-    /// The duty's name.
+    /// The lease's name.
     pub name: String,
     /// The token of the grant.
     pub token: u64,
--- a/src/registry/store/mod.rs
+++ b/src/registry/store/mod.rs
@@ -11,7 +11,7 @@
 //! Backends, leases and sessions, which expire unless renewed, are renewed in the leader's memory ([`super::liveness`])
 //! and removed from the store only by [`Command::EndExpired`], so that an idle fleet writes nothing. A leader switches
 //! the store to this with [`Command::ExpireByCommand`]; commands before it in a log are applied as by the build that
-//! wrote them. A node of such a build does not know the command, and stops when it reads it.
+//! wrote them. Such a build does not support the command: its node stops when it reads it.
 
 mod command;
 mod endpoint;
--- a/src/simulator/wire.rs
+++ b/src/simulator/wire.rs
@@ -20,7 +20,7 @@
 pub enum Line<'a> {
     /// A batch begins.
     BatchStarted {
-        /// The time of its events.
+        /// The time of its events, in seconds.
         now: Time,
         /// Its number.
         number: u64,
