--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -67,7 +67,8 @@
         self.call(|| post_json(path, body), false).await
     }
 
-    /// Calls the nodes in turn, and returns the reply of the first that answers.
+    /// Calls the nodes in turn, and returns the first reply with a status other than 503. A call that failed after its
+    /// connection was established is repeated at the next node only if it `is_repeatable`.
     async fn call(
         &self,
         request: impl Fn() -> Result<Request<Full<Bytes>>, CallError>,
--- a/src/registry/api/settings.rs
+++ b/src/registry/api/settings.rs
@@ -31,7 +31,7 @@
 /// Answers a read or a watch of the agreement.
 pub(super) async fn agreed(state: &ApiState, query: &str) -> Result<Reply, RequestError> {
     let Watch { since, max_wait } = Watch::from_query(query)?;
-    let known_versions = query::text(query, "have").unwrap_or("").to_string();
+    let omitted_list = query::text(query, "have").unwrap_or("").to_string();
     if let Some(since) = since {
         let _watch = state.begin_watch()?;
         state.node.wait_for_agreement_change(since, max_wait).await;
@@ -42,17 +42,17 @@
     if let Some(since) = since.filter(|since| *since > at) {
         return Err(RequestError::AgreementBehind { at, since });
     }
-    let known: Vec<u64> = known_versions.split(',').filter_map(|version| version.parse().ok()).collect();
-    let make = || agreement_body(agreement, &known);
-    let body = state.agreement_body.get_or_make((at, known_versions), make)?;
+    let omitted: Vec<u64> = omitted_list.split(',').filter_map(|version| version.parse().ok()).collect();
+    let make = || agreement_body(agreement, &omitted);
+    let body = state.agreement_body.get_or_make((at, omitted_list), make)?;
     Ok(reply::json(StatusCode::OK, body))
 }
 
 /// The JSON of the agreement, without the documents of the versions that the watcher has.
-fn agreement_body(agreement: &Agreement, known: &[u64]) -> Result<Bytes, RequestError> {
+fn agreement_body(agreement: &Agreement, omitted: &[u64]) -> Result<Bytes, RequestError> {
     let settings_view = |version: u64| {
         let document = agreement.version(version)?.document.clone();
-        Some(SettingsView { version, document: Some(document).filter(|_| !known.contains(&version)) })
+        Some(SettingsView { version, document: Some(document).filter(|_| !omitted.contains(&version)) })
     };
     let agreed = AgreementView {
         revision: agreement.latest_change(),
--- a/src/registry/clock/tests.rs
+++ b/src/registry/clock/tests.rs
@@ -16,5 +16,5 @@
     // During an hour as a follower, mostly without a leader, only the time in the log has passed.
     clock.advance_as_follower(ms(3_600_105), 900);
     assert_eq!(clock.advance_as_leader(ms(3_600_155), 900), 950);
-    assert_eq!(clock.advance_as_leader(ms(3_600_165), 2_000), 2_000, "never behind the applied stamp");
+    assert_eq!(clock.advance_as_leader(ms(3_600_165), 2_000), 2_000, "never behind the applied timestamp");
 }
--- a/src/registry/node/watch.rs
+++ b/src/registry/node/watch.rs
@@ -40,17 +40,17 @@
     /// stops.
     pub async fn track_quorum_contact(&self) {
         let mut metrics = self.raft.metrics();
-        let mut known_leader = None;
+        let mut logged_leader = None;
         while metrics.changed().await.is_ok() {
             let (since_contact_ms, term, leader) = {
                 let metrics = metrics.borrow_and_update();
                 (metrics.millis_since_quorum_ack, metrics.current_term, metrics.current_leader)
             };
-            if leader != known_leader {
+            if leader != logged_leader {
                 // Raft's own log lines repeat with each call to a node that is down; this line is written once for each
                 // change.
                 tracing::info!(node = self.id, term, leader, "leader changed");
-                known_leader = leader;
+                logged_leader = leader;
             }
             let contact =
                 since_contact_ms.and_then(|ms| Instant::now().checked_sub(Duration::from_millis(ms)));
--- a/src/registry/store/tests.rs
+++ b/src/registry/store/tests.rs
@@ -47,12 +47,12 @@
         ..ProptestConfig::default()
     })]
 
-    /// A watcher that applies every answer, from any revision at which it stopped, has the complete list, and the
-    /// revision that it sees never goes back; a rejected command changes nothing.
+    /// A watcher that applies every answer, even after skipped polls, has the complete list, and the revision that it
+    /// sees never goes back; a rejected command changes nothing.
     #[test]
     fn watchers_reach_the_complete_list_and_revisions_only_grow(
         commands in proptest::collection::vec(command(), 1..80),
-        stops in proptest::collection::vec(0usize..80, 0..6),
+        skipped_polls in proptest::collection::vec(0usize..80, 0..6),
     ) {
         let mut store = Store::default();
         let mut view: BTreeMap<String, Instance> = BTreeMap::new();
@@ -63,7 +63,7 @@
                 Ok(revision) => prop_assert!(revision >= before.0),
                 Err(_) => prop_assert_eq!((store.revision(), store.full_list(), store.clock_ms), before),
             }
-            if stops.contains(&i) {
+            if skipped_polls.contains(&i) {
                 continue;
             }
             prop_assert_eq!(store.has_changes_since(seen), store.changes_since(seen).is_some());
