--- a/tests/agreement_model.rs
+++ b/tests/agreement_model.rs
@@ -105,8 +105,9 @@
     /// The former leader's renewals and its state of the service, if it continues to answer.
     former_leader: Option<(Liveness, Store)>,
     term: u64,
-    /// Real time, and below it the log's clock, which does not advance while there is no leader.
+    /// The real time.
     now_ms: u64,
+    /// The time of the log's clock, which does not advance while there is no leader.
     log_ms: u64,
     has_leader: bool,
     elections: u8,
@@ -115,7 +116,7 @@
     proxies: Vec<Proxy>,
     /// Each committed version and the real time of its commit.
     commits: Vec<(u64, u64)>,
-    /// The offered version, and the log's time at which it was offered.
+    /// The offered version and the time of the log's clock at which it was offered.
     offered: Option<(u64, u64)>,
 }
 
@@ -200,7 +201,7 @@
         let mut proxies: Vec<u64> = self.proxies.iter().map(hash_proxy).collect();
         proxies.sort_unstable();
         proxies.hash(state);
-        // Sessions of which no proxy has a record still occupy their slots.
+        // Sessions that no proxy has on record still occupy their slots.
         let mut sessions: Vec<_> = agreement.sessions().keys().map(|id| session_view(*id)).collect();
         sessions.sort_unstable();
         let statuses: Vec<u8> = agreement
@@ -635,7 +636,7 @@
 }
 
 const SLOTS_ARE_EXCLUSIVE: &str = "no slot is held by two proxies";
-const STALENESS_IS_BOUNDED: &str = "no version is applied for longer than W after the next is committed";
+const STALENESS_IS_BOUNDED: &str = "no version is applied for a TTL after the next one is committed";
 const ALL_PROXIES_FOLLOW: &str = "the last version is applied by all proxies";
 
 fn real_validity() -> Duration {
@@ -683,7 +684,7 @@
 }
 
 #[test]
-fn versions_are_applied_within_w_and_every_offer_ends() {
+fn versions_are_applied_within_a_ttl_and_every_offer_ends() {
     let base = Configuration { validity: real_validity(), ..BASE };
     assert_properties_hold(Configuration { proxies: 3, versions: 1, steps: 2, ..base });
     assert_properties_hold(Configuration { versions: 2, ..base });
@@ -729,7 +730,7 @@
 /// commits a version without it.
 #[test]
 fn a_former_leader_that_answers_renewals_breaks_the_bound() {
-    let renewed =
+    let renewal_actions =
         [Action::Send(0), Action::DeliverToFormerLeader(0), Action::Deliver(0), Action::AdvanceTime];
     for (leader_mode, is_violated) in [(LeaderMode::FormerAnswers, true), (LeaderMode::Real, false)] {
         let model = Configuration {
@@ -741,9 +742,9 @@
             ..BASE
         };
         let mut state = model.init_states().remove(0);
-        let elected = [Action::SetLeader(false), Action::SetLeader(true), Action::Publish];
-        for action in elected.into_iter().chain((0..4).flat_map(|_| renewed.clone())) {
-            // Actions that the real leaders do not take are skipped.
+        let election_actions = [Action::SetLeader(false), Action::SetLeader(true), Action::Publish];
+        for action in election_actions.into_iter().chain((0..4).flat_map(|_| renewal_actions.clone())) {
+            // Actions that are impossible with real leaders are skipped.
             state = model.next_state(&state, action).unwrap_or(state);
         }
         let property = model.property(STALENESS_IS_BOUNDED);
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -41,7 +41,7 @@
 impl TestServer {
     async fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).await.unwrap();
-        stream.set_nodelay(true).unwrap(); // else the system delays bytes by its own clock, which runs on
+        stream.set_nodelay(true).unwrap(); // else the system delays bytes by real time
         sleep(SHORT_DELAY).await;
         stream
     }
@@ -195,17 +195,18 @@
 #[tokio::test(start_paused = true)]
 async fn a_new_client_in_a_crowd_is_answered_or_closed_in_time_and_not_forwarded_after_its_close() {
     let crowds = [(8, 100), (8, 1000), (64, 100), (64, 1000), (110, 100), (110, 1000)];
-    let all = crowds.map(|crowd| [(0, 3000), (40, 2000), (40, 40)].map(|slowness| (crowd, slowness)));
-    for ((max_connections, per_second), (first, pause_ms)) in all.into_iter().flatten() {
+    let cases =
+        crowds.map(|crowd| [(0, 3000), (40, 2000), (40, 40)].map(|write_pattern| (crowd, write_pattern)));
+    for ((max_connections, per_second), (first_bytes, pause_ms)) in cases.into_iter().flatten() {
         let (received, elapsed, was_forwarded) = with_server(max_connections, async move |test_server| {
             crowd(test_server.address, max_connections, per_second).await;
             let mut stream = test_server.connect().await;
             let (text, start) = (request(1, FAST_PATH, ""), Instant::now());
             spawn_local(crowd(test_server.address, 2 * max_connections, per_second));
-            stream.write_all(&text.as_bytes()[..first]).await.unwrap();
+            stream.write_all(&text.as_bytes()[..first_bytes]).await.unwrap();
             let mut received = timeout(Duration::from_millis(pause_ms), read_until(&mut stream, b"\0")).await;
             if received.is_err() {
-                stream.write_all(&text.as_bytes()[first..]).await.unwrap();
+                stream.write_all(&text.as_bytes()[first_bytes..]).await.unwrap();
                 received = Ok(read_until(&mut stream, b"\0").await);
             }
             let (received, elapsed) = (received.unwrap(), start.elapsed());
@@ -214,7 +215,7 @@
         })
         .await;
         let case = format!(
-            "at most {max_connections} connections, {per_second}/s, {first} bytes, rest {pause_ms} ms later"
+            "at most {max_connections} connections, {per_second}/s, {first_bytes} bytes, rest {pause_ms} ms later"
         );
         println!("{case}: {:?}, end after {elapsed:?}", received.lines().next());
         assert_eq!(received.contains(" 200 "), was_forwarded, "{case}: {received}");
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -18,7 +18,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linkhatch-proxy");
 /// The maximum lifetime of a test's processes.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// The timeout of waiting for a state of the list service.
+/// The timeout for reaching a state of the list service.
 const STATE_TIMEOUT: Duration = Duration::from_secs(10);
 /// A session TTL that does not expire during a test.
 const LONG_TTL_MS: u64 = 60_000;
@@ -59,7 +59,9 @@
 /// Replaces the digits that directly precede `end` by one `#`.
 fn hide_number_before(line: &str, end: &str) -> String {
     match line.find(end) {
-        Some(at) => format!("{}#{}", line[..at].trim_end_matches(|c: char| c.is_ascii_digit()), &line[at..]),
+        Some(start) => {
+            format!("{}#{}", line[..start].trim_end_matches(|c: char| c.is_ascii_digit()), &line[start..])
+        }
         None => line.to_string(),
     }
 }
@@ -74,9 +76,9 @@
     for line in text.lines() {
         let mut line = hide_number_before(line, " ms ago");
         for key in ["\"unixMs\": ", "\"leftMs\": ", "\"agoMs\": "] {
-            if let Some(at) = line.find(key) {
+            if let Some(start) = line.find(key) {
                 let comma = if line.ends_with(',') { "," } else { "" };
-                line = format!("{}{key}#{comma}", &line[..at]);
+                line = format!("{}{key}#{comma}", &line[..start]);
             }
         }
         if line.contains(" attached ") || line.contains(" behind ") {
@@ -135,15 +137,15 @@
     .to_string()
 }
 
-fn post(at: SocketAddr, path: &str, body: &Value) -> (u16, Value) {
-    call(at, "POST", path, body).expect("the node answers")
+fn post(node_address: SocketAddr, path: &str, body: &Value) -> (u16, Value) {
+    call(node_address, "POST", path, body).expect("the node answers")
 }
 
 /// Waits until the node's answer at `path` satisfies `condition`; returns that answer.
-fn wait_for(at: SocketAddr, path: &str, condition: impl Fn(&Value) -> bool) -> Value {
+fn wait_for(node_address: SocketAddr, path: &str, condition: impl Fn(&Value) -> bool) -> Value {
     let deadline = Instant::now() + STATE_TIMEOUT;
     loop {
-        let (_, answer) = call(at, "GET", path, &Value::Null).expect("the node answers");
+        let (_, answer) = call(node_address, "GET", path, &Value::Null).expect("the node answers");
         if condition(&answer) {
             return answer;
         }
@@ -153,9 +155,12 @@
 }
 
 /// Opens a session and returns its number.
-fn open_session(at: SocketAddr, name: &str, held_version: u64) -> u64 {
-    let (status, answer) =
-        post(at, "/v1/session/open", &json!({"name": name, "ttlMs": LONG_TTL_MS, "holds": held_version}));
+fn open_session(node_address: SocketAddr, name: &str, held_version: u64) -> u64 {
+    let (status, answer) = post(
+        node_address,
+        "/v1/session/open",
+        &json!({"name": name, "ttlMs": LONG_TTL_MS, "holds": held_version}),
+    );
     assert_eq!(status, 200, "{answer}");
     answer["session"].as_u64().expect("a session")
 }
@@ -194,30 +199,30 @@
     let wrong = scratch.write("wrong.json", &document(0, 1.0));
     let broken = scratch.write("broken.json", "{\"document\": ");
     let missing = scratch.0.join("missing.json").display().to_string();
-    let at = "127.0.0.1:1";
+    let unreachable_node = "127.0.0.1:1";
     let mut out = String::new();
     for arguments in [
         vec!["nonsense"],
         vec!["settings", "nonsense"],
         vec!["settings", "get"],
         vec!["settings", "get", "--at", "here"],
-        vec!["settings", "get", "--at", at, "--version", "x"],
-        vec!["settings", "put", &bare, "--at", at],
-        vec!["settings", "put", "--by", "kim", "--at", at],
-        vec!["settings", "put", &bare, "--by", "kim", "--at", at],
-        vec!["settings", "put", &wrong, "--by", "kim", "--parent", "0", "--at", at],
-        vec!["settings", "put", &broken, "--by", "kim", "--parent", "0", "--at", at],
-        vec!["settings", "put", &missing, "--by", "kim", "--parent", "0", "--at", at],
-        vec!["settings", "put", &bare, "--by", "kim", "--parent", "0", "--at", at],
-        vec!["settings", "diff", "--at", at],
-        vec!["settings", "rollback", "--at", at],
+        vec!["settings", "get", "--at", unreachable_node, "--version", "x"],
+        vec!["settings", "put", &bare, "--at", unreachable_node],
+        vec!["settings", "put", "--by", "kim", "--at", unreachable_node],
+        vec!["settings", "put", &bare, "--by", "kim", "--at", unreachable_node],
+        vec!["settings", "put", &wrong, "--by", "kim", "--parent", "0", "--at", unreachable_node],
+        vec!["settings", "put", &broken, "--by", "kim", "--parent", "0", "--at", unreachable_node],
+        vec!["settings", "put", &missing, "--by", "kim", "--parent", "0", "--at", unreachable_node],
+        vec!["settings", "put", &bare, "--by", "kim", "--parent", "0", "--at", unreachable_node],
+        vec!["settings", "diff", "--at", unreachable_node],
+        vec!["settings", "rollback", "--at", unreachable_node],
         vec!["settings", "init"],
         vec!["settings", "init", &missing],
         vec!["settings", "init", &broken],
         vec!["settings", "init", &bare],
-        vec!["settings", "get", "--at", at],
+        vec!["settings", "get", "--at", unreachable_node],
         vec!["settings", "history", "--at", "127.0.0.1:1,127.0.0.1:2"],
-        vec!["fleet", "status", "--at", at],
+        vec!["fleet", "status", "--at", unreachable_node],
         vec!["registry", "--config", &missing],
         vec!["hold", "--config", &missing],
     ] {
@@ -262,7 +267,9 @@
     step(&["settings", "history"]);
     step(&["settings", "history", "--json"]);
     step(&["settings", "put", &first, "--by", "kim", "--parent", "0", "--note", "the first"]);
-    let head = |at| call(at, "GET", "/v1/settings", &Value::Null).expect("answered").1["head"].clone();
+    let head = |node_address| {
+        call(node_address, "GET", "/v1/settings", &Value::Null).expect("answered").1["head"].clone()
+    };
     let version_1 = head(node.address())["version"].to_string();
     step(&["settings", "put", &second, "--by", "kim", "--parent", "0"]);
     step(&["settings", "put", &second, "--by", "kim", "--parent", "0", "--json"]);
@@ -302,7 +309,7 @@
 fn version_statuses_and_the_fleet_status_are_printed_as_recorded() {
     let (scratch, mut fleet) = (Scratch::new("fleet"), fleet());
     let node = node(&mut fleet);
-    let (at, address) = (node.address(), node.address().to_string());
+    let (node_address, address) = (node.address(), node.address().to_string());
     let file = |worth: f64| scratch.write(&format!("{worth}.json"), &document(2, worth));
     let mut out = String::new();
     let with_node = |arguments: &[&str]| -> Vec<String> {
@@ -313,26 +320,30 @@
         start(&all.iter().map(String::as_str).collect::<Vec<_>>())
     };
     let status_of = |version: &str| {
-        call(at, "GET", &format!("/v1/settings?version={version}"), &Value::Null).expect("answered").1["fate"]
+        call(node_address, "GET", &format!("/v1/settings?version={version}"), &Value::Null)
+            .expect("answered")
+            .1["fate"]
             .clone()
     };
-    let head =
-        || call(at, "GET", "/v1/settings", &Value::Null).expect("answered").1["head"]["version"].to_string();
+    let head = || {
+        call(node_address, "GET", "/v1/settings", &Value::Null).expect("answered").1["head"]["version"]
+            .to_string()
+    };
     let wait_for_new_head = |old_head: &str| {
         let old_head: Option<u64> = old_head.parse().ok();
-        let answer = wait_for(at, "/v1/settings", |s| s["head"]["version"].as_u64() != old_head);
+        let answer = wait_for(node_address, "/v1/settings", |s| s["head"]["version"].as_u64() != old_head);
         answer["head"]["version"].to_string()
     };
     out += &start_with_node(&["settings", "put", &file(1.0), "--by", "kim", "--parent", "0"]).transcript();
     let version_1: u64 = head().parse().expect("a version");
-    let session = open_session(at, "proxy-a", version_1);
+    let session = open_session(node_address, "proxy-a", version_1);
     // Each change reaches the membership before the next one is made, so that revisions are the same in each run.
     let wait_for_members =
-        |slots: &str| drop(wait_for(at, "/v1/fleet", |fleet| fleet["members"]["slots"] == slots));
+        |slots: &str| drop(wait_for(node_address, "/v1/fleet", |fleet| fleet["members"]["slots"] == slots));
     wait_for_members("0");
-    let closed_session = open_session(at, "proxy-b", version_1);
+    let closed_session = open_session(node_address, "proxy-b", version_1);
     wait_for_members("0-1");
-    assert_eq!(post(at, "/v1/session/close", &json!({"session": closed_session})).0, 200);
+    assert_eq!(post(node_address, "/v1/session/close", &json!({"session": closed_session})).0, 200);
     wait_for_members("0");
     out += &start_with_node(&["fleet", "status"]).transcript();
 
@@ -359,7 +370,7 @@
         let version: u64 = version.parse().expect("a version");
         let body = json!({"session": session, "name": "proxy-a", "version": version,
                           "why": "classes.c: is not known"});
-        assert_eq!(post(at, "/v1/session/refuse", &body).0, 200);
+        assert_eq!(post(node_address, "/v1/session/refuse", &body).0, 200);
     };
     let last = head();
     reject(&offered);
@@ -370,7 +381,7 @@
     let held_version: u64 = last.parse().expect("a version");
     let renewal =
         json!({"session": session, "holds": held_version, "inForce": held_version, "members": 4, "list": 0});
-    assert_eq!(post(at, "/v1/session/renew", &renewal).0, 200);
+    assert_eq!(post(node_address, "/v1/session/renew", &renewal).0, 200);
     assert_eq!(status_of(&last), "in force");
     reject(&withdrawn_version);
     out += &withdrawn.transcript();
--- a/tests/crowded_discovery.rs
+++ b/tests/crowded_discovery.rs
@@ -171,20 +171,20 @@
 const CONCURRENT_REQUESTS: u64 = 8;
 
 /// Sends requests; backend 1 rejects all attempts, backend 2 serves them. Returns the number sent to each.
-fn send_with_rejecting_backend(balancer: &mut TestBalancer, next: &mut u64) -> [usize; 2] {
+fn send_with_rejecting_backend(balancer: &mut TestBalancer, last_id: &mut u64) -> [usize; 2] {
     let mut sent = [0, 0];
     for _ in 0..10 {
-        let first = *next + 1;
-        *next += CONCURRENT_REQUESTS;
+        let first = *last_id + 1;
+        *last_id += CONCURRENT_REQUESTS;
         let attempts: Vec<(u64, u32)> =
-            (first..=*next).flat_map(|id| attempts_sent(&balancer.request(id))).collect();
+            (first..=*last_id).flat_map(|id| attempts_sent(&balancer.request(id))).collect();
         for (id, backend) in attempts {
             sent[backend as usize - 1] += 1;
             let outcome = if backend == 1 { Outcome::Rejected } else { Outcome::Served };
             balancer.end_attempt(id, 0, backend, outcome, 0.001);
         }
         // The clients of rejected requests disconnect.
-        for id in first..=*next {
+        for id in first..=*last_id {
             balancer.event(Event::ClientDisconnected(RequestId(id)));
         }
         balancer.run_to(balancer.now + 0.05);
@@ -196,9 +196,9 @@
 fn a_rejecting_backend_counts_as_draining_without_a_current_list() {
     let list = [endpoint(1), endpoint(2)];
     let mut balancer = TestBalancer::new(Settings { polls_discovery: true, ..idempotent_settings() }, &list);
-    let mut next = 0;
+    let mut last_id = 0;
     balancer.event(Event::Endpoints(EndpointUpdate::Snapshot(&list)));
-    let [rejected, _] = send_with_rejecting_backend(&mut balancer, &mut next);
+    let [rejected, _] = send_with_rejecting_backend(&mut balancer, &mut last_id);
     assert!(
         rejected > 2,
         "with a current list, a rejecting backend counts as full and is tried again: {rejected}"
@@ -206,12 +206,12 @@
     balancer.event(Event::Endpoints(EndpointUpdate::PollFailed));
     balancer.run_to(balancer.now + 4.1);
     balancer.event(Event::Endpoints(EndpointUpdate::PollFailed));
-    let [rejected, served] = send_with_rejecting_backend(&mut balancer, &mut next);
+    let [rejected, served] = send_with_rejecting_backend(&mut balancer, &mut last_id);
     assert!(served > 0, "{rejected} attempts to the rejecting backend, {served} to the other");
-    let [rejected, _] = send_with_rejecting_backend(&mut balancer, &mut next);
+    let [rejected, _] = send_with_rejecting_backend(&mut balancer, &mut last_id);
     assert_eq!(rejected, 0, "the backend has rejected twice in a row");
     balancer.event(Event::Endpoints(EndpointUpdate::Changes(&[])));
-    let [rejected, _] = send_with_rejecting_backend(&mut balancer, &mut next);
+    let [rejected, _] = send_with_rejecting_backend(&mut balancer, &mut last_id);
     assert!(rejected > 0, "the current list has the backend in service");
 }
 
--- a/tests/crowded_stop.rs
+++ b/tests/crowded_stop.rs
@@ -20,15 +20,15 @@
 /// The interval at which the open connections are counted.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Starts a server without backends that shuts down after `stop`; returns it and its address.
-fn start_server(stop: Duration) -> (Rc<Server>, SocketAddr) {
+/// Starts a server without backends that shuts down after `stop_delay`; returns it and its address.
+fn start_server(stop_delay: Duration) -> (Rc<Server>, SocketAddr) {
     let settings = Settings { classes: vec![Class::default()], ..Settings::default() };
     let proxy_settings = ProxySettings { classes: vec!["look".into()], ..ProxySettings::default() };
     let engine = Engine::start(settings.clone(), &proxy_settings, 1, 8);
     let listener = server::bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
     let server = Server::new(engine, settings, proxy_settings, MAX_CONNECTIONS);
-    tokio::task::spawn_local(server.clone().run(listener, tokio::time::sleep(stop)));
+    tokio::task::spawn_local(server.clone().run(listener, tokio::time::sleep(stop_delay)));
     (server, address)
 }
 
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -32,16 +32,18 @@
     for id in 0..3000_u64 {
         let now = id as f64 * 0.01;
         while let Some(next) = outstanding.iter().position(|(at, ..)| *at <= now) {
-            let (at, done, to, elapsed) = outstanding.remove(next);
+            let (at, done, backend, elapsed) = outstanding.remove(next);
             balancer.run_to(at.max(balancer.now));
-            let actions = balancer.end_attempt(done, 0, to, Outcome::Served, elapsed);
+            let actions = balancer.end_attempt(done, 0, backend, Outcome::Served, elapsed);
             balancer.confirm_cancels(&actions);
         }
         balancer.run_to(now);
         let elapsed = if id % 10 == 9 { 0.9 } else { 0.1 };
         let actions = balancer.request(id);
         rejections += usize::from(id >= 1000 && is_rejected(&actions, id));
-        outstanding.extend(attempts_sent(&actions).iter().map(|(id, to)| (now + elapsed, *id, *to, elapsed)));
+        outstanding.extend(
+            attempts_sent(&actions).iter().map(|(id, backend)| (now + elapsed, *id, *backend, elapsed)),
+        );
     }
     assert_eq!(rejections, 0);
 }
@@ -62,9 +64,9 @@
             now += interval(gap);
             outstanding.sort_by(|a, b| a.0.total_cmp(&b.0));
             while outstanding.first().is_some_and(|next| next.0 <= now) {
-                let (at, done, to, elapsed) = outstanding.remove(0);
+                let (at, done, backend, elapsed) = outstanding.remove(0);
                 balancer.run_to(at);
-                let actions = balancer.end_attempt(done, 0, to, Outcome::Served, elapsed);
+                let actions = balancer.end_attempt(done, 0, backend, Outcome::Served, elapsed);
                 balancer.confirm_cancels(&actions);
             }
             balancer.run_to(now);
@@ -74,8 +76,9 @@
                 rejections += u64::from(is_rejected(&actions, id));
             }
             let elapsed = interval(0.55);
-            outstanding
-                .extend(attempts_sent(&actions).iter().map(|(id, to)| (now + elapsed, *id, *to, elapsed)));
+            outstanding.extend(
+                attempts_sent(&actions).iter().map(|(id, backend)| (now + elapsed, *id, *backend, elapsed)),
+            );
         }
     }
     (rejections, arrivals)
@@ -110,8 +113,8 @@
             batch.push((4 * id, vec![]));
             balancer.run_to(balancer.now + 0.1);
             for (id, _) in batch {
-                if let Some(to) = balancer.sent_to.get(&id).map(|to| to[0]) {
-                    let actions = balancer.end_attempt(id, 0, to, Outcome::Served, 0.1);
+                if let Some(backend) = balancer.sent_to.get(&id).map(|backend| backend[0]) {
+                    let actions = balancer.end_attempt(id, 0, backend, Outcome::Served, 0.1);
                     balancer.confirm_cancels(&actions);
                 }
             }
@@ -148,13 +151,13 @@
         if round > 500 {
             shed[class][tenant] += usize::from(is_rejected(&actions, round));
         }
-        waiting.extend(attempts_sent(&actions).into_iter().map(|(id, to)| (id, to, balancer.now)));
+        waiting.extend(attempts_sent(&actions).into_iter().map(|(id, backend)| (id, backend, balancer.now)));
         // The backends respond in order of arrival: first to all requests, later to seven in ten.
         if (round < 500 || round % 10 < 7)
-            && let Some((id, to, sent)) = waiting.pop_front()
+            && let Some((id, backend, sent)) = waiting.pop_front()
         {
             let elapsed = balancer.now - sent;
-            let actions = balancer.end_attempt(id, 0, to, Outcome::Served, elapsed.max(0.001));
+            let actions = balancer.end_attempt(id, 0, backend, Outcome::Served, elapsed.max(0.001));
             balancer.confirm_cancels(&actions);
         }
         let actions = without_times(balancer.run_to(balancer.now + 0.005));
@@ -178,11 +181,11 @@
     for id in 100..400 {
         let actions = balancer.request(id);
         shed += usize::from(is_rejected(&actions, id));
-        let seen = without_times(balancer.run_to(balancer.now + 0.01));
-        balancer.confirm_cancels(&seen);
+        let later_actions = without_times(balancer.run_to(balancer.now + 0.01));
+        balancer.confirm_cancels(&later_actions);
         // Backends 1 to 6 hang.
-        if let Some((_, to)) = attempts_sent(&actions).first().filter(|s| s.1 > 6) {
-            balancer.end_attempt(id, 0, *to, Outcome::Served, 0.01);
+        if let Some((_, backend)) = attempts_sent(&actions).first().filter(|s| s.1 > 6) {
+            balancer.end_attempt(id, 0, *backend, Outcome::Served, 0.01);
         }
     }
     assert!(shed < 60, "{shed} of 300");
@@ -209,8 +212,8 @@
                 outstanding.extend(attempts_sent(&actions));
             }
             balancer.run_to(balancer.now + 0.0003);
-            for (id, to) in outstanding {
-                let actions = balancer.end_attempt(id, 0, to, Outcome::Served, 0.0003);
+            for (id, backend) in outstanding {
+                let actions = balancer.end_attempt(id, 0, backend, Outcome::Served, 0.0003);
                 balancer.confirm_cancels(&actions);
             }
         }
--- a/tests/decisions/endpoints.rs
+++ b/tests/decisions/endpoints.rs
@@ -11,10 +11,10 @@
         balancer.request(1);
         balancer.event(Event::Endpoints(EndpointUpdate::Changes(&[EndpointEntry { status, ..endpoint(1) }])));
         // A rejected request is not sent to it either, although there is no other backend.
-        let to = BackendId(1);
+        let backend_id = BackendId(1);
         let ended = AttemptEnded {
             id: RequestId(1),
-            backend: to,
+            backend: backend_id,
             attempt: 0,
             outcome: Outcome::Rejected,
             elapsed: 0.1,
@@ -75,8 +75,8 @@
         let mut settings = idempotent_settings();
         settings.polls_discovery = true;
         let mut balancer = TestBalancer::seeded(seed, settings.clone(), &backends(3));
-        let poll_times = |seen: Vec<(Time, Action)>| -> Vec<Time> {
-            seen.into_iter().filter(|(_, a)| *a == Action::PollDiscovery).map(|(at, _)| at).collect()
+        let poll_times = |later_actions: Vec<(Time, Action)>| -> Vec<Time> {
+            later_actions.into_iter().filter(|(_, a)| *a == Action::PollDiscovery).map(|(at, _)| at).collect()
         };
         let mut waits = vec![poll_times(balancer.run_to(20.0))[0]];
         for _ in 0..8 {
@@ -115,8 +115,8 @@
                 balancer.event(Event::Endpoints(EndpointUpdate::Changes(&list)));
             }
         }
-        let to = balancer.serve(u64::from(round), 0.01);
-        assert!(ids(round).contains(&to), "round {round}: to {to}");
+        let backend = balancer.serve(u64::from(round), 0.01);
+        assert!(ids(round).contains(&backend), "round {round}: to {backend}");
         balancer.run_to(balancer.now + 1.0);
     }
     // With a latency objective of one second the averaging window is eight seconds.
--- a/tests/decisions/final_answer.rs
+++ b/tests/decisions/final_answer.rs
@@ -11,8 +11,8 @@
     settings.classes[0].late_weight = 0.5;
     let mut balancer = TestBalancer::new(settings, &backends(3));
     balancer.request_for(1, 1.5);
-    let seen = balancer.run_to(3.0);
-    let answers: Vec<Time> = seen
+    let later_actions = balancer.run_to(3.0);
+    let answers: Vec<Time> = later_actions
         .iter()
         .filter(|(_, a)| matches!(a, Action::Reject { .. } | Action::Fail { .. }))
         .map(|(t, _)| *t)
@@ -28,8 +28,10 @@
 fn a_request_without_late_weight_ends_at_its_objective() {
     let mut balancer = TestBalancer::new(idempotent_settings(), &backends(3));
     balancer.request_for(1, 1.9);
-    let seen = balancer.run_to(3.0);
-    assert!(seen.iter().any(|(t, a)| is_rejected(std::slice::from_ref(a), 1) && (*t - 1.0).abs() < 0.01));
+    let later_actions = balancer.run_to(3.0);
+    assert!(
+        later_actions.iter().any(|(t, a)| is_rejected(std::slice::from_ref(a), 1) && (*t - 1.0).abs() < 0.01)
+    );
 }
 
 #[test]
@@ -37,8 +39,8 @@
     let mut settings = idempotent_settings();
     (settings.max_attempts, settings.max_retry_after) = (1, 0.3);
     let mut balancer = TestBalancer::new(settings, &backends(4));
-    let (_, to) = attempts_sent(&balancer.request(1))[0];
-    let actions = balancer.end_attempt(1, 0, to, Outcome::Error, 0.1);
+    let (_, backend) = attempts_sent(&balancer.request(1))[0];
+    let actions = balancer.end_attempt(1, 0, backend, Outcome::Error, 0.1);
     assert_eq!(
         actions,
         [Action::Reject { id: RequestId(1), retry_after: Some(0.3), reason: Rejection::NoResponse }]
@@ -137,14 +139,22 @@
             .into_iter()
             .filter(|(_, action)| matches!(action, Action::Reject { .. } | Action::Fail { .. }))
             .collect();
-        let at = |id| {
+        let answer_times = |id| {
             let is_answer = |action: &Action| {
                 is_rejected(std::slice::from_ref(action), id) || is_failed(std::slice::from_ref(action), id)
             };
-            answers.iter().filter(|(_, action)| is_answer(action)).map(|(at, _)| *at).collect::<Vec<Time>>()
+            answers
+                .iter()
+                .filter(|(_, action)| is_answer(action))
+                .map(|(time, _)| *time)
+                .collect::<Vec<Time>>()
         };
-        assert_eq!(at(1), [0.9], "{idempotency:?}");
-        assert!(at(2)[0] <= 0.5 && at(2).len() == 1, "{idempotency:?}: {:?}", at(2));
+        assert_eq!(answer_times(1), [0.9], "{idempotency:?}");
+        assert!(
+            answer_times(2)[0] <= 0.5 && answer_times(2).len() == 1,
+            "{idempotency:?}: {:?}",
+            answer_times(2)
+        );
         assert_eq!(balancer.inner.open_requests(), 0);
     }
 }
--- a/tests/decisions/health.rs
+++ b/tests/decisions/health.rs
@@ -12,9 +12,9 @@
     let mut balancer = TestBalancer::new(settings, &backends(2));
     let mut failed = 0;
     for id in 0..200 {
-        let to = attempts_sent(&balancer.request(id))[0].1;
+        let backend = attempts_sent(&balancer.request(id))[0].1;
         balancer.now += 0.02;
-        if to == 1 {
+        if backend == 1 {
             failed += 1;
             balancer.end_attempt(id, 0, 1, Outcome::Error, 0.001);
         } else {
@@ -37,16 +37,16 @@
     };
     let mut balancer = TestBalancer::new(idempotent_settings(), &machines(1..3));
     for id in 0..200 {
-        let to = attempts_sent(&balancer.request(id))[0].1;
-        let elapsed = if to % 2 == 1 { 0.09 } else { 0.03 };
+        let backend = attempts_sent(&balancer.request(id))[0].1;
+        let elapsed = if backend % 2 == 1 { 0.09 } else { 0.03 };
         balancer.run_to(balancer.now + elapsed);
-        balancer.end_attempt(id, 0, to, Outcome::Served, elapsed);
+        balancer.end_attempt(id, 0, backend, Outcome::Served, elapsed);
     }
     // All backends are replaced. By machine type, a fast backend with two requests is as good as a slow one
     // without any.
     balancer.event(Event::Endpoints(EndpointUpdate::Snapshot(&machines(11..13))));
-    let to = (1000..1006).map(|id| attempts_sent(&balancer.request(id))[0].1).collect::<Vec<_>>();
-    assert!(to.iter().filter(|to| **to == 12).count() >= 4, "{to:?}");
+    let used = (1000..1006).map(|id| attempts_sent(&balancer.request(id))[0].1).collect::<Vec<_>>();
+    assert!(used.iter().filter(|backend| **backend == 12).count() >= 4, "{used:?}");
 }
 
 #[test]
@@ -67,10 +67,10 @@
     // One request in twenty is heavy. Response times have a fixed part and a part proportional to the work.
     for id in 0..200 {
         let heavy = id % 20 == 19;
-        let to = send_request(&mut balancer, id, if heavy { 1.6 } else { 0.1 })[0].1;
+        let backend = send_request(&mut balancer, id, if heavy { 1.6 } else { 0.1 })[0].1;
         let elapsed = if heavy { 0.387 } else { 0.06 };
         balancer.run_to(balancer.now + elapsed);
-        balancer.end_attempt(id, 0, to, Outcome::Served, elapsed);
+        balancer.end_attempt(id, 0, backend, Outcome::Served, elapsed);
     }
     balancer.timers.clear();
     let start = balancer.now;
@@ -103,8 +103,8 @@
     }
     let mut hung = 0;
     for id in 1000..1040 {
-        let to = attempts_sent(&balancer.request(id))[0].1;
-        if to == 1 {
+        let backend = attempts_sent(&balancer.request(id))[0].1;
+        if backend == 1 {
             hung += 1;
             balancer.run_to(balancer.now + 1.1);
             balancer.end_attempt(id, 0, 1, Outcome::Timeout, 1.0);
--- a/tests/decisions/idempotency.rs
+++ b/tests/decisions/idempotency.rs
@@ -23,9 +23,9 @@
             let mut settings = settings_for(idempotency);
             settings.max_attempts = 1;
             let mut balancer = TestBalancer::new(settings, &backends(3));
-            let to = attempts_sent(&balancer.request(1))[0].1;
+            let backend = attempts_sent(&balancer.request(1))[0].1;
             balancer.now = 0.1;
-            let actions = balancer.end_attempt(1, 0, to, outcome, 0.1);
+            let actions = balancer.end_attempt(1, 0, backend, outcome, 0.1);
             assert_eq!(is_rejected(&actions, 1), rejected, "{idempotency:?} {outcome:?}");
             assert_eq!(is_failed(&actions, 1), !rejected, "{idempotency:?} {outcome:?}");
             assert_eq!(balancer.run_to(5.0), [], "no action after the final answer");
@@ -42,8 +42,8 @@
     ] {
         let mut balancer = TestBalancer::new(settings_for(idempotency), &backends(2));
         for id in 0..40 {
-            let (_, to) = attempts_sent(&balancer.request(id))[0];
-            let actions = balancer.end_attempt(id, 0, to, Outcome::BadRequest, 0.01);
+            let (_, backend) = attempts_sent(&balancer.request(id))[0];
+            let actions = balancer.end_attempt(id, 0, backend, Outcome::BadRequest, 0.01);
             assert!(is_failed(&actions, id), "{idempotency:?}: {actions:?}");
             assert_eq!(
                 attempts_sent(&without_times(balancer.run_to(balancer.now + 0.1))),
@@ -63,9 +63,9 @@
         [(Outcome::Rejected, 1), (Outcome::ConnectFailed, 1), (Outcome::Error, 0), (Outcome::Reset, 0)]
     {
         let mut balancer = TestBalancer::new(settings_for(Idempotency::NonIdempotent), &backends(4));
-        let to = attempts_sent(&balancer.request(1))[0].1;
+        let backend = attempts_sent(&balancer.request(1))[0].1;
         balancer.now = 0.1;
-        let actions = balancer.end_attempt(1, 0, to, outcome, 0.1);
+        let actions = balancer.end_attempt(1, 0, backend, outcome, 0.1);
         assert_eq!(is_failed(&actions, 1), retries == 0, "no retry is allowed");
         assert_eq!(attempts_sent(&without_times(balancer.run_to(0.5))).len(), retries, "{outcome:?}");
     }
@@ -95,7 +95,9 @@
         let mut balancer = TestBalancer::seeded(seed, settings_for(idempotency), &list);
         let first = attempts_sent(&balancer.request(1))[0].1;
         assert!(
-            attempts_sent(&without_times(balancer.run_to(0.5))).iter().all(|(_, to)| to % 2 == first % 2)
+            attempts_sent(&without_times(balancer.run_to(0.5)))
+                .iter()
+                .all(|(_, backend)| backend % 2 == first % 2)
         );
     }
 }
@@ -120,8 +122,8 @@
         "the window starts at the first attempt"
     );
     // An attempt that was not executed does not start the idempotency window.
-    let to = attempts_sent(&balancer.request(2))[0].1;
-    balancer.end_attempt(2, 0, to, Outcome::ConnectFailed, 0.1);
+    let backend = attempts_sent(&balancer.request(2))[0].1;
+    balancer.end_attempt(2, 0, backend, Outcome::ConnectFailed, 0.1);
     let start = balancer.now;
     let actions = balancer.run_to(start + 0.8);
     let (at, _) = actions.iter().find(|(_, a)| matches!(a, Action::Send { id, .. } if id.0 == 2)).unwrap();
--- a/tests/decisions/ordering.rs
+++ b/tests/decisions/ordering.rs
@@ -20,12 +20,12 @@
 #[test]
 fn requests_of_an_ordering_key_run_one_at_a_time() {
     let mut balancer = TestBalancer::new(ordered(Idempotency::NonIdempotent), &backends(4));
-    let to = attempts_sent(&keyed_request(&mut balancer, 1, 7))[0].1;
+    let backend = attempts_sent(&keyed_request(&mut balancer, 1, 7))[0].1;
     assert_eq!(attempts_sent(&keyed_request(&mut balancer, 2, 7)), []);
     assert_eq!(attempts_sent(&keyed_request(&mut balancer, 3, 7)), []);
     assert_eq!(attempts_sent(&keyed_request(&mut balancer, 4, 8)).len(), 1, "another key is not blocked");
     balancer.run_to(0.1);
-    let next = attempts_sent(&balancer.end_attempt(1, 0, to, Outcome::Served, 0.1));
+    let next = attempts_sent(&balancer.end_attempt(1, 0, backend, Outcome::Served, 0.1));
     assert_eq!(next.iter().map(|s| s.0).collect::<Vec<_>>(), [2], "in the order of arrival");
     // The client of the second request disconnects: its cancelled attempt blocks the key until it ends, and
     // then the quiet period begins.
@@ -48,10 +48,10 @@
     let mut balancer = TestBalancer::new(ordered(Idempotency::NonIdempotent), &backends(4));
     keyed_request(&mut balancer, 1, 7);
     assert_eq!(attempts_sent(&keyed_request(&mut balancer, 2, 7)), []);
-    let seen = without_times(balancer.run_to(3.0));
-    assert!(is_failed(&seen, 1), "the request may have been executed");
-    assert!(is_rejected(&seen, 2), "the request was never sent");
-    assert_eq!(attempts_sent(&seen), []);
+    let later_actions = without_times(balancer.run_to(3.0));
+    assert!(is_failed(&later_actions, 1), "the request may have been executed");
+    assert!(is_rejected(&later_actions, 2), "the request was never sent");
+    assert_eq!(attempts_sent(&later_actions), []);
     // Behind many requests that take 0.4 s each, a request with 2 s left cannot be answered in time.
     let mut balancer = TestBalancer::new(ordered(Idempotency::NonIdempotent), &backends(4));
     for id in 0..60 {
--- a/tests/decisions/retry.rs
+++ b/tests/decisions/retry.rs
@@ -30,8 +30,8 @@
         // When the timers fire, 40 requests wait where 10 per second are sent: far more than T1.
         balancer.timers.retain(|(at, _)| *at > 3.9);
         fired += balancer.timers.iter().filter(|(at, _)| *at < 4.4).count();
-        let seen = balancer.run_to(4.4);
-        retries += seen.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count();
+        let later_actions = balancer.run_to(4.4);
+        retries += later_actions.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count();
     }
     let share = retries as f64 / fired as f64;
     assert!(share < 0.5, "{share}");
@@ -44,9 +44,9 @@
     // jitter of a tenth.
     let mut balancer = TestBalancer::new(idempotent_settings(), &backends(8));
     balancer.request(1);
-    let seen = balancer.run_to(2.0);
+    let later_actions = balancer.run_to(2.0);
     let times: Vec<Time> =
-        seen.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).map(|(t, _)| *t).collect();
+        later_actions.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).map(|(t, _)| *t).collect();
     assert_eq!(times.len(), 1, "3 T1 is after the objective: {times:?}");
     assert!((0.36..=0.44).contains(&times[0]));
     // With a latency baseline T1 is short, and the next timer fires 2 T1 after the first.
@@ -57,9 +57,12 @@
     balancer.run_to(60.0);
     let start = balancer.now;
     balancer.request(1);
-    let seen = balancer.run_to(start + 1.0);
-    let times: Vec<Time> =
-        seen.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).map(|(t, _)| *t - start).collect();
+    let later_actions = balancer.run_to(start + 1.0);
+    let times: Vec<Time> = later_actions
+        .iter()
+        .filter(|(_, a)| matches!(a, Action::Send { .. }))
+        .map(|(t, _)| *t - start)
+        .collect();
     assert_eq!(times.len(), 3, "{times:?}");
     assert!(times[0] > 0.05 && times[0] < 0.1, "just above the baseline: {times:?}");
     assert!((2.2..4.0).contains(&(times[1] / times[0])), "{times:?}");
@@ -104,9 +107,9 @@
     let mut settings = idempotent_settings();
     settings.hedged_requests = false;
     let mut balancer = TestBalancer::new(settings.clone(), &backends(4));
-    let to = attempts_sent(&balancer.request(1))[0].1;
+    let backend = attempts_sent(&balancer.request(1))[0].1;
     assert_eq!(attempts_sent(&without_times(balancer.run_to(0.2))), []);
-    balancer.end_attempt(1, 0, to, Outcome::Error, 0.2);
+    balancer.end_attempt(1, 0, backend, Outcome::Error, 0.2);
     assert_eq!(
         attempts_sent(&without_times(balancer.run_to(0.5))).len(),
         1,
--- a/tests/decisions/selection.rs
+++ b/tests/decisions/selection.rs
@@ -8,11 +8,11 @@
 fn requests_are_balanced_by_weight() {
     let list = [EndpointEntry { weight: 3.0, ..endpoint(1) }, endpoint(2)];
     let mut balancer = TestBalancer::new(idempotent_settings(), &list);
-    let mut to = [0, 0];
+    let mut counts = [0, 0];
     for id in 0..40 {
-        to[attempts_sent(&balancer.request_for(id, 2.0))[0].1 as usize - 1] += 1;
+        counts[attempts_sent(&balancer.request_for(id, 2.0))[0].1 as usize - 1] += 1;
     }
-    assert!((26..=34).contains(&to[0]), "{to:?}");
+    assert!((26..=34).contains(&counts[0]), "{counts:?}");
 }
 
 #[test]
@@ -25,8 +25,10 @@
     for id in 0..40 {
         assert_eq!(balancer.serve(id, 0.05) % 2, 1, "backends of the own zone are idle");
     }
-    let crossed =
-        (100..140).flat_map(|id| attempts_sent(&balancer.request(id))).filter(|(_, to)| to % 2 == 0).count();
+    let crossed = (100..140)
+        .flat_map(|id| attempts_sent(&balancer.request(id)))
+        .filter(|(_, backend)| backend % 2 == 0)
+        .count();
     assert!((1..20).contains(&crossed), "{crossed}");
     let mut balancer = TestBalancer::new(Settings { zone: 1, ..idempotent_settings() }, &list);
     let crossed = (0..40).filter(|id| balancer.serve(*id, 0.05).is_multiple_of(2)).count();
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -60,9 +60,9 @@
     let mut sent = 0;
     for id in 1000..1020 {
         let actions = balancer.request(id);
-        for (id, to) in attempts_sent(&actions) {
+        for (id, backend) in attempts_sent(&actions) {
             sent += 1;
-            balancer.end_attempt(id, 0, to, Outcome::Served, 0.05);
+            balancer.end_attempt(id, 0, backend, Outcome::Served, 0.05);
         }
         balancer.run_to(balancer.now + 0.05);
     }
@@ -93,13 +93,15 @@
         }
         starting += attempts_sent(&actions).iter().filter(|s| id > 1000 && s.1 == 1).count();
         // Ten of a hundred requests per second are served.
-        if let Some((_, to)) = attempts_sent(&actions).first().filter(|_| id % 10 == 0) {
-            balancer.end_attempt(id, 0, *to, Outcome::Served, 0.05);
+        if let Some((_, backend)) = attempts_sent(&actions).first().filter(|_| id % 10 == 0) {
+            balancer.end_attempt(id, 0, *backend, Outcome::Served, 0.05);
         }
-        let seen = balancer.run_to(balancer.now + 0.01);
-        starting +=
-            attempts_sent(&without_times(seen.clone())).iter().filter(|s| id > 1000 && s.1 == 1).count();
-        balancer.confirm_cancels(&without_times(seen));
+        let later_actions = balancer.run_to(balancer.now + 0.01);
+        starting += attempts_sent(&without_times(later_actions.clone()))
+            .iter()
+            .filter(|s| id > 1000 && s.1 == 1)
+            .count();
+        balancer.confirm_cancels(&without_times(later_actions));
     }
     // For ten seconds each backend gets 2.5 requests per second, of which this one can serve a tenth to a
     // half.
@@ -242,9 +244,9 @@
                 for member in &mut members {
                     let due = without_times(member.balancer.run_to(now));
                     member.apply(due, &mut rng, starting, &mut reached_at);
-                    while let Some(at) = member.outstanding.iter().position(|o| o.0 <= now) {
-                        let (_, id, attempt, to, outcome) = member.outstanding.swap_remove(at);
-                        let actions = member.balancer.end_attempt(id, attempt, to, outcome, 0.05);
+                    while let Some(position) = member.outstanding.iter().position(|o| o.0 <= now) {
+                        let (_, id, attempt, backend, outcome) = member.outstanding.swap_remove(position);
+                        let actions = member.balancer.end_attempt(id, attempt, backend, outcome, 0.05);
                         member.apply(actions, &mut rng, starting, &mut reached_at);
                     }
                     let burst = if bursts && now % 5.0 < 1.0 { 2.0 } else { 1.0 };
--- a/tests/decisions/subset.rs
+++ b/tests/decisions/subset.rs
@@ -6,7 +6,10 @@
 
 /// The backends that are selected for many requests without a response.
 fn backends_used(balancer: &mut TestBalancer, from: u64) -> std::collections::BTreeSet<u32> {
-    (from..from + 60).flat_map(|id| attempts_sent(&balancer.request(id))).map(|(_, to)| to).collect()
+    (from..from + 60)
+        .flat_map(|id| attempts_sent(&balancer.request(id)))
+        .map(|(_, backend)| backend)
+        .collect()
 }
 
 #[test]
@@ -35,15 +38,17 @@
         let mut outstanding = std::collections::VecDeque::new();
         for id in 0..600 {
             outstanding.extend(
-                attempts_sent(&balancer.request(id)).into_iter().map(|(id, to)| (id, to, balancer.now)),
+                attempts_sent(&balancer.request(id))
+                    .into_iter()
+                    .map(|(id, backend)| (id, backend, balancer.now)),
             );
             if outstanding.len() > 8 {
-                let (id, to, sent) = outstanding.pop_front().unwrap();
-                let actions = balancer.end_attempt(id, 0, to, Outcome::Served, balancer.now - sent);
+                let (id, backend, sent) = outstanding.pop_front().unwrap();
+                let actions = balancer.end_attempt(id, 0, backend, Outcome::Served, balancer.now - sent);
                 balancer.confirm_cancels(&actions);
             }
-            let seen = without_times(balancer.run_to(balancer.now + 0.02));
-            balancer.confirm_cancels(&seen);
+            let later_actions = without_times(balancer.run_to(balancer.now + 0.02));
+            balancer.confirm_cancels(&later_actions);
         }
         backends_used(&mut balancer, 1000).len()
     };
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -68,7 +68,7 @@
 }
 
 struct Holder {
-    /// The rate of its clock against real time.
+    /// The rate of its clock relative to real time.
     clock_rate: f64,
     contender: Contender,
     is_crashed: bool,
@@ -200,10 +200,10 @@
 
     #[test]
     fn no_two_valid_acts_overlap_and_admitted_tokens_only_grow(
-        speeds in prop::collection::vec(prop_oneof![Just(0.98), Just(1.0), Just(1.02)], 3),
+        clock_rates in prop::collection::vec(prop_oneof![Just(0.98), Just(1.0), Just(1.02)], 3),
         steps in prop::collection::vec(step(), 1..120),
     ) {
-        let holders = speeds
+        let holders = clock_rates
             .iter()
             .map(|&clock_rate| Holder { clock_rate, contender: Contender::default(), is_crashed: false })
             .collect();
--- a/tests/liveness_model.rs
+++ b/tests/liveness_model.rs
@@ -6,7 +6,7 @@
 //! Invariants of every schedule:
 //! - whenever a holder decides to act, the lease is granted to it, under the token that it uses or a newer one of its
 //!   own;
-//! - a backend is ended at the earliest a TTL after its last answered heartbeat, and at the latest a TTL and two expiry
+//! - a backend expires at the earliest a TTL after its last answered heartbeat, and at the latest a TTL and two expiry
 //!   intervals after that heartbeat or the last change of leader;
 //! - revisions never decrease.
 //!
@@ -51,7 +51,7 @@
 #[derive(Clone)]
 enum Call {
     Acquire { holder: usize, number: u64 },
-    KeepAlive { holder: usize, token: u64, sent: Instant },
+    KeepAlive { holder: usize, token: u64, sent_at: Instant },
     Heartbeat,
 }
 
@@ -70,7 +70,7 @@
     Renewed {
         holder: usize,
         token: u64,
-        sent: Instant,
+        sent_at: Instant,
     },
     Lost {
         holder: usize,
@@ -81,7 +81,7 @@
 
 struct Holder {
     /// The rate of its clock relative to real time.
-    rate: f64,
+    clock_rate: f64,
     contender: Contender,
 }
 
@@ -129,8 +129,10 @@
         store
             .apply(&Command::Register { instance: instance(), ttl_ms: TTL_MS, at_ms: 0 })
             .expect("registered");
-        let make_holder =
-            |_| Holder { rate: [0.98, 1.0, 1.02][rng.random_range(0..3)], contender: Contender::default() };
+        let make_holder = |_| Holder {
+            clock_rate: [0.98, 1.0, 1.02][rng.random_range(0..3)],
+            contender: Contender::default(),
+        };
         let mut model = Self {
             now_ms: 0,
             started_at: Instant::now(),
@@ -152,7 +154,8 @@
     }
 
     fn local_time(&self, holder: usize) -> Instant {
-        self.started_at + Duration::from_secs_f64(self.now_ms as f64 * self.holders[holder].rate / 1000.0)
+        self.started_at
+            + Duration::from_secs_f64(self.now_ms as f64 * self.holders[holder].clock_rate / 1000.0)
     }
 
     fn send(&mut self, delay_ms: u64, message: Message) {
@@ -206,7 +209,9 @@
                 let ttl = Duration::from_millis(TTL_MS);
                 self.holders[holder].contender.granted(number, LEASE_NAME, token, ttl);
             }
-            Message::Renewed { holder, token, sent } => self.holders[holder].contender.renewed(token, sent),
+            Message::Renewed { holder, token, sent_at } => {
+                self.holders[holder].contender.renewed(token, sent_at)
+            }
             Message::Lost { holder, token } => self.holders[holder].contender.lost(token),
             Message::ExpiryTick => {
                 self.expire();
@@ -232,15 +237,17 @@
         }
         let at_ms = self.log_time(term);
         let expired = self.leaders[term as usize - 1].liveness.expired(&self.store, at_ms);
-        self.end(expired, at_ms);
+        self.end_expired(expired, at_ms);
     }
 
-    fn end(&mut self, expired: Expired, at_ms: u64) {
+    fn end_expired(&mut self, expired: Expired, at_ms: u64) {
         if expired.instances.iter().any(|id| id == BACKEND_ID) {
             self.violations.early_expiries += usize::from(self.now_ms < self.heartbeat_answered_ms + TTL_MS);
         }
         let before = self.store.revision();
-        self.store.apply(&Command::EndExpired { expired, at_ms }).expect("what has expired is in the store");
+        self.store
+            .apply(&Command::EndExpired { expired, at_ms })
+            .expect("the expired entries are in the store");
         assert!(self.store.revision() >= before, "the revision decreased");
     }
 
@@ -258,12 +265,12 @@
                     self.heartbeat_answered_ms = self.now_ms;
                 }
             }
-            Call::KeepAlive { holder, token, sent } => {
+            Call::KeepAlive { holder, token, sent_at } => {
                 let grant = GrantId { name: LEASE_NAME.into(), token };
                 let renewals = Renewals { grants: vec![grant], ..Renewals::default() };
                 let lost = self.leaders[term as usize - 1].liveness.renew(&renewals, &self.store, at_ms);
                 let answer = match lost.grants.is_empty() {
-                    true => Message::Renewed { holder, token, sent },
+                    true => Message::Renewed { holder, token, sent_at },
                     false => Message::Lost { holder, token },
                 };
                 self.send(answer_delay_ms, answer);
@@ -285,7 +292,7 @@
             if at_ms < self.leaders[term as usize - 1].liveness.grant_expires_at_ms(&id, &grant) {
                 return None;
             }
-            self.end(Expired { grants: vec![id], ..Expired::default() }, at_ms);
+            self.end_expired(Expired { grants: vec![id], ..Expired::default() }, at_ms);
         }
         let acquire = Command::Acquire { name: LEASE_NAME.into(), holder: name, ttl_ms: TTL_MS, at_ms };
         match self.store.apply(&acquire) {
@@ -310,10 +317,10 @@
     }
 
     fn renew_or_acquire(&mut self, holder: usize, rng: &mut SmallRng) {
-        let sent = self.local_time(holder);
+        let sent_at = self.local_time(holder);
         let call = match self.holders[holder].contender.lease() {
-            Some(lease) => Call::KeepAlive { holder, token: lease.token, sent },
-            None => Call::Acquire { holder, number: self.holders[holder].contender.begin_acquire(sent) },
+            Some(lease) => Call::KeepAlive { holder, token: lease.token, sent_at },
+            None => Call::Acquire { holder, number: self.holders[holder].contender.begin_acquire(sent_at) },
         };
         self.call(call, rng);
     }
@@ -338,14 +345,14 @@
         }
     }
 
-    /// Sends nothing more, and checks that what was renewed last is ended in time.
+    /// Sends no more calls, and checks that the backend expires in time after its last renewal.
     fn settle(&mut self) {
         let latest_arrival = self.now_ms + 3_000 + 80;
         self.run_to(latest_arrival);
         let latest = self.heartbeat_answered_ms.max(self.last_election_ms);
         self.run_to(self.now_ms.max(latest + TTL_MS + 2 * EXPIRY_INTERVAL_MS));
-        let still_listed = self.store.instance_expiry(BACKEND_ID).is_some();
-        self.violations.late_expiries += usize::from(still_listed);
+        let is_listed = self.store.instance_expiry(BACKEND_ID).is_some();
+        self.violations.late_expiries += usize::from(is_listed);
     }
 }
 
@@ -376,7 +383,7 @@
 }
 
 #[test]
-fn without_a_grace_period_live_backends_and_leases_end() {
+fn without_a_grace_period_live_backends_and_leases_expire() {
     let (violations, _) = run_schedules(Variant::WithoutGrace);
     assert!(violations.early_expiries > 0 && violations.acts_without_lease > 0, "{violations:?}");
 }
--- a/tests/metrics_readers.rs
+++ b/tests/metrics_readers.rs
@@ -44,7 +44,7 @@
             for _ in 0..IDLE_PEERS {
                 peers.push(TcpStream::connect(address).await.unwrap());
             }
-            tokio::time::sleep(Duration::from_millis(100)).await; // the listener accepts all that it may
+            tokio::time::sleep(Duration::from_millis(100)).await; // the listener accepts its maximum
             let used = open_descriptors() - before - peers.len();
             (used, tokio::time::timeout(MAX_READER_DELAY, read_metrics(address)).await)
         })
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -527,7 +527,7 @@
 }
 
 /// Reads one answer; returns an empty text if the connection ends without one.
-async fn one_answer(stream: &mut TcpStream) -> String {
+async fn read_answer(stream: &mut TcpStream) -> String {
     let mut received = Vec::new();
     while !received.ends_with(b"served") && stream.read_buf(&mut received).await.is_ok_and(|read| read > 0) {}
     String::from_utf8_lossy(&received).into_owned()
@@ -551,7 +551,7 @@
         let mut stream = TcpStream::connect(address).await.unwrap();
         stream.set_nodelay(true).unwrap();
         stream.write_all(numbered_request(1).as_bytes()).await.unwrap();
-        assert!(one_answer(&mut stream).await.contains("served"));
+        assert!(read_answer(&mut stream).await.contains("served"));
         let start = Instant::now();
         let request = numbered_request(2);
         let (head, rest) = request.split_at(request.len() / 2);
@@ -559,7 +559,7 @@
         stream.write_all(head.as_bytes()).await.unwrap();
         tokio::time::sleep_until(start + second_delay).await;
         let _ = stream.write_all(rest.as_bytes()).await; // the connection may be closed
-        one_answer(&mut stream).await
+        read_answer(&mut stream).await
     };
     let scenario = |address| async move {
         tokio::select! {
@@ -654,7 +654,7 @@
     assert!(answer.contains("ready"), "{answer:?}");
 }
 
-/// hyper reads no further than the beginning of the next request, so it does not notice an end after it.
+/// hyper reads no further than the beginning of the next request, so it does not notice a disconnect after it.
 #[tokio::test(start_paused = true)]
 async fn a_disconnect_behind_a_pipelined_byte_is_detected_and_ends_the_attempts() {
     for reset in [false, true] {
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Longer than any step takes, on a busy machine too.
+/// Longer than any step takes, even on a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(30);
 static NEXT_ID: AtomicUsize = AtomicUsize::new(1);
 
@@ -61,7 +61,7 @@
     format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// What a fake server does with a request.
+/// How a fake server handles a request.
 enum Behavior {
     Answer(String),
     /// Answers, then closes without `Connection: close`, and signals the close.
@@ -341,7 +341,7 @@
 /// A backend's 400 means that the request itself is malformed, so no other backend is tried.
 #[test]
 fn a_400_from_a_backend_fails_the_request_without_a_retry() {
-    let (tried, other) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+    let (first_attempts, second_attempts) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let rejects = |count: &Arc<AtomicUsize>| {
         let count = count.clone();
         FakeServer::new(move |_, _| {
@@ -349,16 +349,20 @@
             Behavior::Answer(answer("400 Bad Request", ""))
         })
     };
-    let backends = [rejects(&tried), rejects(&other)];
+    let backends = [rejects(&first_attempts), rejects(&second_attempts)];
     let proxy = Proxy::with_backends(&[&backends[0], &backends[1]]);
     for class in ["look", "save", "order"] {
-        let before = tried.load(Ordering::SeqCst) + other.load(Ordering::SeqCst);
+        let before = first_attempts.load(Ordering::SeqCst) + second_attempts.load(Ordering::SeqCst);
         let start = Instant::now();
         let status = proxy.exchange(&request(class, 20_000)).status();
         assert!(status >= 400 && status != 429 && status != 503, "{class}: {status}");
         // A retry would be sent seconds later.
         assert!(start.elapsed() < Duration::from_secs(2), "{class}");
-        assert_eq!(tried.load(Ordering::SeqCst) + other.load(Ordering::SeqCst), before + 1, "{class}");
+        assert_eq!(
+            first_attempts.load(Ordering::SeqCst) + second_attempts.load(Ordering::SeqCst),
+            before + 1,
+            "{class}"
+        );
     }
 }
 
@@ -718,8 +722,8 @@
     let changes =
         list(2, false, &[entry("s-0", old.address, "DELETED"), entry("s-1", new.address, "SERVING")]);
     // Each entry is valid, but the list takes more memory than a proxy has.
-    let many = (0..8000).map(|i| entry(&format!("s-{i}"), new.address, "SERVING")).collect::<Vec<_>>();
-    let oversized = list(2, true, &many).to_string();
+    let entries = (0..8000).map(|i| entry(&format!("s-{i}"), new.address, "SERVING")).collect::<Vec<_>>();
+    let oversized = list(2, true, &entries).to_string();
     assert!(oversized.len() > 1 << 20);
     let stage = Arc::new(AtomicUsize::new(0));
     let (discovery_stage, change_list) = (stage.clone(), changes.to_string());
--- a/tests/proxy_answers.rs
+++ b/tests/proxy_answers.rs
@@ -10,11 +10,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Longer than any step takes, on a busy machine too.
+/// Longer than any step takes, even on a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(30);
 static NEXT_ID: AtomicU64 = AtomicU64::new(0xa000);
 
-/// What a backend does with each request.
+/// How a backend handles each request.
 #[derive(Clone, Copy)]
 enum Behavior {
     /// Answers 200.
--- a/tests/scales.rs
+++ b/tests/scales.rs
@@ -50,14 +50,14 @@
 
 /// A backend that answers all requests. After the first answer it waits for a signal, closes its first connection and
 /// signals that it has done so.
-struct ClosesFirstConnection {
+struct ClosingBackend {
     address: SocketAddr,
     connections: Arc<AtomicUsize>,
     close: Sender<()>,
     closed: Receiver<()>,
 }
 
-fn closes_first_connection() -> ClosesFirstConnection {
+fn start_closing_backend() -> ClosingBackend {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, connections) = (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
     let ((close, signal), (done, closed)) = (channel(), channel());
@@ -80,7 +80,7 @@
             });
         }
     });
-    ClosesFirstConnection { address, connections, close, closed }
+    ClosingBackend { address, connections, close, closed }
 }
 
 /// After a backend closed an idle connection, non-idempotent requests avoid connections that have been idle for about
@@ -93,7 +93,7 @@
         (30_000, 1_000, 600, Some(90)),
         (300_000, 1_000, 600, Some(90)),
     ] {
-        let backend = closes_first_connection();
+        let backend = start_closing_backend();
         let idle = Duration::from_millis(idle);
         let endpoint = Rc::new(Endpoint::new(backend.address, ConnectionBudget::new(4), STEP_TIMEOUT, idle));
         let stay_idle = async |span: u64| {
@@ -148,7 +148,7 @@
 
 /// Starts a backend that never answers. Returns its address and the remaining time that each request announces, in
 /// milliseconds.
-fn records_remaining_times() -> (SocketAddr, Receiver<i64>) {
+fn start_silent_backend() -> (SocketAddr, Receiver<i64>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (announce, announced) = channel();
@@ -172,7 +172,7 @@
 #[tokio::test(start_paused = true)]
 async fn after_a_stall_requests_keep_most_of_their_time_at_any_deadline() {
     for (deadline, expected_after) in [(0.1, 74), (0.6, 524), (6.0, 5_884), (60.0, 59_884)] {
-        let (address, announced) = records_remaining_times();
+        let (address, announced) = start_silent_backend();
         // The paused clock does not advance while a blocking task runs.
         let next = async |announced: Receiver<i64>| {
             let waited =
--- a/tests/settings_documents.rs
+++ b/tests/settings_documents.rs
@@ -214,9 +214,9 @@
     ] {
         *settings.pointer_mut(pointer).expect(pointer) = new;
         for fallback in [None, Some(fallback.clone())] {
-            let made = initial_document(&settings, fallback).map(|d| d.max_retry_after);
+            let result = initial_document(&settings, fallback).map(|d| d.max_retry_after);
             let text =
-                made.map_or_else(|e| e.to_string(), |seconds| format!("made, max-retry-after {seconds}"));
+                result.map_or_else(|e| e.to_string(), |seconds| format!("made, max-retry-after {seconds}"));
             writeln!(errors, "{pointer}\n    {text}").expect("a string");
         }
     }
@@ -252,7 +252,7 @@
     for (name, view) in [("settings/agreed_at_first.json", empty), ("settings/agreed.json", full)] {
         let text = pretty(&view);
         assert_golden(name, &text);
-        let read: AgreementView = serde_json::from_str(&text).expect("it reads");
+        let read: AgreementView = serde_json::from_str(&text).expect("it parses");
         assert_eq!(pretty(&read), text);
     }
 }
@@ -279,12 +279,12 @@
 fn commands_are_stored_and_read_as_recorded() {
     let text = pretty(&commands());
     assert_golden("settings/commands.json", &text);
-    assert_eq!(serde_json::from_str::<Vec<Command>>(&text).expect("they read"), commands());
+    assert_eq!(serde_json::from_str::<Vec<Command>>(&text).expect("they parse"), commands());
     let logged: Vec<store::Command> =
         commands().into_iter().map(|change| store::Command::ChangeAgreement { change, at_ms: 12 }).collect();
     assert_golden("settings/logged_commands.json", &pretty(&logged));
     // A renewal may omit most fields, but must not have unknown ones.
-    let short: Renewal = serde_json::from_str(r#"{"session": 3}"#).expect("it reads");
+    let short: Renewal = serde_json::from_str(r#"{"session": 3}"#).expect("it parses");
     assert_eq!(short, Renewal { session: 3, ..Renewal::default() });
     let error = serde_json::from_str::<Renewal>(r#"{"session": 3, "in_force": 4}"#).expect_err("unknown");
     assert_golden("settings/renewal_error.txt", &format!("{error}\n"));
@@ -301,7 +301,7 @@
     ];
     let text = pretty(&outcomes);
     assert_golden("settings/outcomes.json", &text);
-    assert_eq!(serde_json::from_str::<Vec<CommandOutcome>>(&text).expect("they read"), outcomes);
+    assert_eq!(serde_json::from_str::<Vec<CommandOutcome>>(&text).expect("they parse"), outcomes);
     let errors = vec![
         AgreementError::Ttl(4),
         AgreementError::Text("name".into()),
@@ -314,7 +314,7 @@
     ];
     let text = pretty(&errors);
     assert_golden("settings/errors.json", &text);
-    assert_eq!(serde_json::from_str::<Vec<AgreementError>>(&text).expect("they read"), errors);
+    assert_eq!(serde_json::from_str::<Vec<AgreementError>>(&text).expect("they parse"), errors);
     let messages: String = errors.iter().map(|e| format!("{e}\n")).collect();
     assert_golden("settings/errors.txt", &messages);
 }
@@ -382,13 +382,13 @@
     assert_golden("settings/scenario.txt", &outcomes);
     let text = pretty(&agreement);
     assert_golden("settings/state.json", &text);
-    let read: Agreement = serde_json::from_str(&text).expect("it reads");
+    let read: Agreement = serde_json::from_str(&text).expect("it parses");
     assert_eq!(read, agreement);
     assert_golden("settings/empty_state.json", &pretty(&Agreement::default()));
     // A snapshot from before sessions expired only by command.
     let mut old = serde_json::to_value(Agreement::default()).expect("JSON");
     old.as_object_mut().expect("a table").remove("lapse_by_command");
-    assert_eq!(serde_json::from_value::<Agreement>(old).expect("it reads"), Agreement::default());
+    assert_eq!(serde_json::from_value::<Agreement>(old).expect("it parses"), Agreement::default());
     let versions: Vec<&Version> = agreement.versions().values().collect();
     assert_golden("settings/versions.json", &pretty(&versions));
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,7 +1,7 @@
 //! This build reads files that an earlier build wrote, without loss: a list-service node's data directory (with a log
 //! only, and with a snapshot and a log) and a proxy's cached endpoint list.
 //!
-//! The files in `fixtures/stored` were written by the build before the Rust names of this one. To write them again:
+//! The files in `fixtures/stored` were written by the last build before the present Rust names. To write them again:
 //!
 //! ```sh
 //! LINKHATCH_PREVIOUS_PROGRAM=PATH cargo test --release --test stored_data -- --ignored
--- a/tests/upstream.rs
+++ b/tests/upstream.rs
@@ -295,7 +295,7 @@
 /// A process that was suspended may handle a timer before it reads its client's disconnect. It could then send an
 /// attempt on an idle connection.
 #[test]
-fn no_attempt_is_sent_for_a_client_whose_disconnect_only_the_system_has_seen() {
+fn no_attempt_is_sent_for_a_client_whose_disconnect_only_the_system_has_noticed() {
     let (address, requests) = named_backend("backend");
     let endpoint = endpoint(address);
     run(async {
