--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -215,7 +215,7 @@
         })
         .await;
         let case = format!(
-            "at most {max_connections} connections, {per_second}/s, {first_bytes} bytes, rest {pause_ms} ms later"
+            "at most {max_connections} open, {per_second}/s, {first_bytes} bytes, rest {pause_ms} ms later"
         );
         println!("{case}: {:?}, end after {elapsed:?}", received.lines().next());
         assert_eq!(received.contains(" 200 "), was_forwarded, "{case}: {received}");
--- a/tests/fleet/crowds.rs
+++ b/tests/fleet/crowds.rs
@@ -1,5 +1,5 @@
-//! Crowds: many more clients than a proxy admits connect, do little and stay. Beside them, clients that keep using
-//! their connections lose no request and are served, and the proxy stays within its limit of descriptors.
+//! Crowds: many more clients than a proxy admits connect, send little and stay idle. Beside them, clients that keep
+//! using their connections lose no request and are served, and the proxy stays within its limit of descriptors.
 
 use crate::harness;
 use crate::harness::backend::Backend;
@@ -29,12 +29,12 @@
 const MAX_CLIENT_CONNECTIONS: usize = 111;
 /// Maximum number of connections of a crowd at a time, waiting ones included.
 const MAX_CROWD: usize = 10 * MAX_CLIENT_CONNECTIONS;
-/// New connections of a crowd at once, every [`BURST_INTERVAL`]: more than the proxy admits, and 300 a second.
+/// The new connections that a crowd opens every [`BURST_INTERVAL`]: more than the proxy admits, and 300 a second.
 const BURST_SIZE: usize = 150;
 const BURST_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a crowd stays beside the clients.
 const CROWD_DURATION: Duration = Duration::from_secs(6);
-/// How long the clients are served before a crowd comes.
+/// How long the clients are served before a crowd connects.
 const DURATION_BEFORE_CROWD: Duration = Duration::from_millis(500);
 /// Number of clients of each pace.
 const CLIENTS: u64 = 8;
@@ -54,11 +54,11 @@
 const MIN_IDLE_BEFORE_CLOSE: Duration = Duration::from_secs(2);
 /// Minimum share of served requests among the clients of each pace, in percent.
 const MIN_SERVED_PERCENT: usize = 95;
-/// Fewer requests of all clients prove too little: the clients did not run, or the machine was overloaded.
+/// Minimum number of requests of all clients. With fewer, the clients did not run or the machine was overloaded.
 const MIN_REQUESTS: usize = 1000;
 /// How often the proxy's descriptors are counted.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(15);
-/// How soon after a crowd has left its descriptors must be free again.
+/// The time within which the descriptors of a crowd that has left must be free again.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(4);
 /// How many more descriptors than before may be open after a crowd.
 const MAX_EXTRA_DESCRIPTORS: usize = 8;
@@ -110,7 +110,7 @@
     /// The ids of the requests that have reached a backend.
     fn forwarded(&self) -> HashSet<String> {
         assert!(self.backends.iter().all(|backend| backend.overflowed() == 0), "all requests are recorded");
-        self.backends.iter().flat_map(Backend::seen).map(|seen| seen.txn).collect()
+        self.backends.iter().flat_map(Backend::seen).map(|received| received.txn).collect()
     }
 
     /// The maximum number of the proxy's open descriptors within `duration`, or until it exits.
@@ -287,7 +287,7 @@
     }
 }
 
-/// What each member of a crowd sends before it stays idle.
+/// How each member of a crowd starts before it stays idle.
 #[derive(Clone, Copy, Debug)]
 enum Behaviour {
     /// Sends one request and reads the answer.
@@ -532,7 +532,7 @@
 
 /// Guards against the eviction of a used connection because the crowd's have been idle for a shorter time.
 #[test]
-fn clients_that_keep_their_connections_are_served_beside_a_crowd_that_asks_once_and_stays() {
+fn clients_that_keep_their_connections_are_served_beside_a_crowd_that_sends_one_request_and_stays() {
     run_test(Behaviour::OneRequest);
 }
 
--- a/tests/fleet/deployments.rs
+++ b/tests/fleet/deployments.rs
@@ -8,9 +8,9 @@
 use crate::harness;
 use crate::harness::discovery::{Discovery, Listing};
 use crate::harness::process::{Fleet, Process};
-use crate::ready;
+use crate::wait_until_ready;
 use backends::Backends;
-use clients::{Attempt, End, Front, Request, Traffic, proxy_of};
+use clients::{Attempt, End, LoadBalancer, Request, Traffic, proxy_of};
 use nix::sys::resource::{Resource, getrlimit, setrlimit};
 use nix::sys::signal::Signal;
 use site::{Effect, Site};
@@ -26,13 +26,13 @@
 const TRAFFIC_DURATION: Duration = Duration::from_millis(400);
 /// How long a request may take to reach a backend that hangs.
 const HANG_TIMEOUT: Duration = Duration::from_secs(8);
-/// How long after SIGTERM the front still opens new connections to the proxy.
-const FRONT_DELAY: Duration = Duration::from_millis(300);
+/// How long after SIGTERM the load balancer still opens new connections to the proxy.
+const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(300);
 /// The proxy that is paused by SIGSTOP around its SIGTERM, like a process that gets no processor time then.
 const PAUSED_PROXY: usize = 1;
 /// How long [`PAUSED_PROXY`] is paused before its SIGTERM, and again after it.
 const HALF_PAUSE: Duration = Duration::from_millis(150);
-/// A close that comes later than this after a request's last byte did not cross it: the proxy accepted the request.
+/// A close later than this after a request's last byte did not cross the request: the proxy had accepted it.
 const MAX_CROSSING_DELAY: Duration = Duration::from_millis(300);
 /// Minimum number of requests for each new connection that is closed without an answer.
 const MIN_REQUESTS_PER_UNREAD_CLOSE: usize = 200;
@@ -77,14 +77,14 @@
     backends: Backends,
 }
 
-/// A running deployment: its proxies, backends, discovery and front.
+/// A running deployment: its proxies, backends, discovery and load balancer.
 struct Rollout {
     site: Arc<Site>,
     fleet: Fleet,
     discovery: Discovery,
     backends: Backends,
     proxies: Vec<Process>,
-    front: Arc<Front>,
+    load_balancer: Arc<LoadBalancer>,
 }
 
 impl Rollout {
@@ -100,19 +100,19 @@
         let listings = backends.addresses().iter().copied().enumerate().map(listed).collect();
         let discovery = Discovery::start(listings, PROXIES).expect("discovery starts");
         let proxies: Vec<Process> = (0..PROXIES)
-            .map(|me| {
-                let config = config(&site, &discovery, me, me as u64);
-                fleet.proxy(&config, discovery.agent(me)).expect("a proxy starts")
+            .map(|proxy_index| {
+                let config = config(&site, &discovery, proxy_index, proxy_index as u64);
+                fleet.proxy(&config, discovery.agent(proxy_index)).expect("a proxy starts")
             })
             .collect();
-        proxies.iter().for_each(ready);
-        let front = Arc::new(Front::new(proxies.iter().map(Process::address).collect()));
-        Self { site, fleet, discovery, backends, proxies, front }
+        proxies.iter().for_each(wait_until_ready);
+        let load_balancer = Arc::new(LoadBalancer::new(proxies.iter().map(Process::address).collect()));
+        Self { site, fleet, discovery, backends, proxies, load_balancer }
     }
 
     /// Restarts one proxy after another under traffic, while half or a quarter of the backends hang.
     fn run(mut self) -> Report {
-        let traffic = Traffic::start(self.site.clone(), self.front.clone());
+        let traffic = Traffic::start(self.site.clone(), self.load_balancer.clone());
         let mut stops = Vec::new();
         for proxy in 0..PROXIES {
             std::thread::sleep(TRAFFIC_DURATION);
@@ -151,8 +151,8 @@
         process.signal(Signal::SIGTERM);
         std::thread::sleep(HALF_PAUSE);
         process.signal(Signal::SIGCONT);
-        std::thread::sleep(FRONT_DELAY - HALF_PAUSE);
-        self.front.set_leaving(proxy, true);
+        std::thread::sleep(LOAD_BALANCER_DELAY - HALF_PAUSE);
+        self.load_balancer.set_leaving(proxy, true);
         let remaining = self.site.kill_after().saturating_sub(signalled_at.elapsed());
         let exit = process.wait_exit(remaining);
         let elapsed = signalled_at.elapsed();
@@ -164,18 +164,18 @@
     fn restart(&mut self, proxy: usize) {
         let config = config(&self.site, &self.discovery, proxy, (PROXIES + proxy) as u64);
         let agent = [self.discovery.agent(proxy)];
-        let address = self.front.address(proxy);
+        let address = self.load_balancer.address(proxy);
         self.proxies[proxy] = self.fleet.proxy_at(&config, &agent, address).expect("the proxy starts again");
-        ready(&self.proxies[proxy]);
-        self.front.set_leaving(proxy, false);
+        wait_until_ready(&self.proxies[proxy]);
+        self.load_balancer.set_leaving(proxy, false);
     }
 }
 
-fn config(site: &Site, discovery: &Discovery, me: usize, seed: u64) -> String {
-    harness::config(&site.settings(me, PROXIES), &discovery.known(), seed)
+fn config(site: &Site, discovery: &Discovery, proxy_index: usize, seed: u64) -> String {
+    harness::config(&site.settings(proxy_index, PROXIES), &discovery.known(), seed)
 }
 
-/// How long after a request a close that crossed it may come: a paused process reads the request later.
+/// The maximum time from a request to a close that crossed it: a paused process reads the request later.
 fn max_crossing_delay(proxy: usize) -> Duration {
     let pause = if proxy == PAUSED_PROXY { 2 * HALF_PAUSE } else { Duration::ZERO };
     MAX_CROSSING_DELAY + pause
@@ -194,7 +194,7 @@
     fn loss_of_attempt(&self, attempt: &Attempt) -> Option<Loss> {
         match attempt.end {
             End::Answered(_) | End::NotSent | End::Unreachable => None,
-            End::Closed(_) if self.backends.times_seen(&attempt.txn) > 0 => Some(Loss::Forwarded),
+            End::Closed(_) if self.backends.times_received(&attempt.txn) > 0 => Some(Loss::Forwarded),
             End::Closed(after) if after > max_crossing_delay(attempt.proxy) => Some(Loss::Accepted),
             End::Closed(_) => None,
             End::Truncated => Some(Loss::Truncated),
@@ -217,8 +217,8 @@
     /// When an attempt was sent, in seconds after the SIGTERM of its proxy.
     fn since_stop(&self, attempt: &Attempt) -> f64 {
         let signalled_at = self.stops[attempt.proxy].signalled_at;
-        let before = signalled_at.saturating_duration_since(attempt.sent).as_secs_f64();
-        attempt.sent.saturating_duration_since(signalled_at).as_secs_f64() - before
+        let before = signalled_at.saturating_duration_since(attempt.sent_at).as_secs_f64();
+        attempt.sent_at.saturating_duration_since(signalled_at).as_secs_f64() - before
     }
 
     fn describe(&self, loss: Loss, request: &Request) -> String {
@@ -243,7 +243,7 @@
     fn run_twice(&self) -> usize {
         let is_unsafe = |request: &&Request| self.site.classes[request.class].effect == Effect::Unsafe;
         let attempts = self.requests.iter().filter(is_unsafe).flat_map(|request| &request.attempts);
-        attempts.filter(|attempt| self.backends.times_seen(&attempt.txn) > 1).count()
+        attempts.filter(|attempt| self.backends.times_received(&attempt.txn) > 1).count()
     }
 
     /// The figures in one line.
--- a/tests/fleet/deployments/backends.rs
+++ b/tests/fleet/deployments/backends.rs
@@ -15,7 +15,7 @@
 
 /// The requests that all backends of a deployment received.
 #[derive(Default)]
-struct Seen {
+struct ReceivedRequests {
     /// How often each request arrived, by its `X-Txn`.
     requests: HashMap<String, usize>,
     /// The requests that hang now.
@@ -31,24 +31,24 @@
     max_connections: usize,
     connections: Cell<usize>,
     hangs: watch::Receiver<bool>,
-    seen: Arc<Mutex<Seen>>,
+    received: Arc<Mutex<ReceivedRequests>>,
 }
 
 /// The backends of a deployment, on a thread of their own that ends with the process.
 pub struct Backends {
     addresses: Vec<SocketAddr>,
     hangs: Vec<watch::Sender<bool>>,
-    seen: Arc<Mutex<Seen>>,
+    received: Arc<Mutex<ReceivedRequests>>,
 }
 
-fn lock(seen: &Mutex<Seen>) -> MutexGuard<'_, Seen> {
-    seen.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+fn lock(received: &Mutex<ReceivedRequests>) -> MutexGuard<'_, ReceivedRequests> {
+    received.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 impl Backends {
     /// Starts a deployment's backends on loopback ports that the system chooses.
     pub fn start(site: &Site) -> Self {
-        let seen: Arc<Mutex<Seen>> = Arc::default();
+        let received: Arc<Mutex<ReceivedRequests>> = Arc::default();
         let (mut addresses, mut hangs, mut starts) = (Vec::new(), Vec::new(), Vec::new());
         for _ in 0..site.backends() {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a loopback port");
@@ -60,7 +60,7 @@
         }
         let service_times: HashMap<String, Duration> =
             site.classes.iter().map(|class| (class.name.clone(), class.service_time())).collect();
-        let (max_connections, shared) = (site.connections_per_backend(), seen.clone());
+        let (max_connections, shared) = (site.connections_per_backend(), received.clone());
         std::thread::spawn(move || {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -71,7 +71,7 @@
                     max_connections,
                     connections: Cell::new(0),
                     hangs,
-                    seen: shared.clone(),
+                    received: shared.clone(),
                 };
                 for (number, (listener, hangs)) in starts.into_iter().enumerate() {
                     tokio::task::spawn_local(accept(listener, Rc::new(backend(number, hangs))));
@@ -79,7 +79,7 @@
                 std::future::pending::<()>().await;
             });
         });
-        Self { addresses, hangs, seen }
+        Self { addresses, hangs, received }
     }
 
     /// The addresses of the backends.
@@ -97,8 +97,8 @@
     /// `count` backends: those that received a request whose `X-Txn` satisfies `predicate`, the latest first, and then
     /// others.
     pub fn latest_used(&self, count: usize, predicate: impl Fn(&str) -> bool) -> Vec<usize> {
-        let seen = lock(&self.seen);
-        let used = seen.order.iter().rev().filter(|(_, txn)| predicate(txn)).map(|(backend, _)| *backend);
+        let received = lock(&self.received);
+        let used = received.order.iter().rev().filter(|(_, txn)| predicate(txn)).map(|(backend, _)| *backend);
         let mut chosen = Vec::new();
         for backend in used.chain(0..self.hangs.len()) {
             if chosen.len() < count && !chosen.contains(&backend) {
@@ -110,12 +110,12 @@
 
     /// Whether the `X-Txn` of a request that hangs now satisfies `predicate`.
     pub fn is_hanging(&self, predicate: impl Fn(&str) -> bool) -> bool {
-        lock(&self.seen).hanging.iter().any(|txn| predicate(txn))
+        lock(&self.received).hanging.iter().any(|txn| predicate(txn))
     }
 
     /// How often a request arrived.
-    pub fn times_seen(&self, txn: &str) -> usize {
-        lock(&self.seen).requests.get(txn).copied().unwrap_or(0)
+    pub fn times_received(&self, txn: &str) -> usize {
+        lock(&self.received).requests.get(txn).copied().unwrap_or(0)
     }
 }
 
@@ -153,9 +153,9 @@
 
 impl Backend {
     fn record(&self, txn: &str) {
-        let mut seen = lock(&self.seen);
-        *seen.requests.entry(txn.to_string()).or_default() += 1;
-        seen.order.push((self.number, txn.to_string()));
+        let mut received = lock(&self.received);
+        *received.requests.entry(txn.to_string()).or_default() += 1;
+        received.order.push((self.number, txn.to_string()));
     }
 
     /// The answer to a request, after its service time and once the backend no longer hangs.
@@ -167,10 +167,10 @@
         tokio::time::sleep(service_time).await;
         let mut hangs = self.hangs.clone();
         if *hangs.borrow() {
-            lock(&self.seen).hanging.push(txn.to_string());
+            lock(&self.received).hanging.push(txn.to_string());
             // The sender lives as long as the test; without it no request hangs.
             let _ = hangs.wait_for(|hangs| !hangs).await;
-            lock(&self.seen).hanging.retain(|hanging| hanging != txn);
+            lock(&self.received).hanging.retain(|hanging| hanging != txn);
         }
         answer(200, "OK", "", format!("{txn} served").as_bytes())
     }
--- a/tests/fleet/deployments/clients.rs
+++ b/tests/fleet/deployments/clients.rs
@@ -20,19 +20,19 @@
 const MAX_PIECES: usize = 3;
 /// The time between two pieces of a request.
 const PIECE_INTERVAL: Duration = Duration::from_millis(8);
-/// Longest wait for a connection to be established.
+/// The longest time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// The body of a request that is not a GET.
 const BODY: &str = "0123456789abcdef0123456789abcdef";
 
-/// The front of the proxies: it opens new connections to those that are not marked as leaving.
-pub struct Front {
+/// The load balancer in front of the proxies: it opens new connections to those that are not marked as leaving.
+pub struct LoadBalancer {
     addresses: Vec<SocketAddr>,
     leaving: Vec<AtomicBool>,
 }
 
-impl Front {
-    /// Creates a front of these proxies; none is leaving.
+impl LoadBalancer {
+    /// Creates a load balancer for these proxies; none is leaving.
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
         let leaving = addresses.iter().map(|_| AtomicBool::new(false)).collect();
         Self { addresses, leaving }
@@ -50,8 +50,8 @@
 
     /// The next proxy from `first` on that is not leaving.
     fn pick(&self, first: usize) -> Option<usize> {
-        let all = self.addresses.len();
-        let mut in_turn = (0..all).map(|n| (first + n) % all);
+        let count = self.addresses.len();
+        let mut in_turn = (0..count).map(|n| (first + n) % count);
         in_turn.find(|proxy| !self.leaving[*proxy].load(Ordering::SeqCst))
     }
 }
@@ -85,7 +85,7 @@
     /// Whether its connection was a new one.
     pub on_new_connection: bool,
     /// When its last byte was written.
-    pub sent: Instant,
+    pub sent_at: Instant,
     /// How it ended.
     pub end: End,
 }
@@ -122,7 +122,7 @@
 }
 
 impl Plan {
-    fn new(number: usize, site: &Site, front: &Front) -> Self {
+    fn new(number: usize, site: &Site, load_balancer: &LoadBalancer) -> Self {
         let mut mixed = (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 16;
         let mut draw = |choices: usize| {
             let drawn = mixed % choices as u64;
@@ -133,7 +133,7 @@
             number,
             class: draw(site.classes.len()),
             tenant: draw(site.tenants.len()),
-            proxy: draw(front.addresses.len()),
+            proxy: draw(load_balancer.addresses.len()),
             pieces: 1 + draw(MAX_PIECES),
         }
     }
@@ -142,7 +142,7 @@
 /// The state that the requests of a deployment share.
 struct Clients {
     site: Arc<Site>,
-    front: Arc<Front>,
+    load_balancer: Arc<LoadBalancer>,
     /// Idle connections, by proxy.
     idle: Vec<RefCell<VecDeque<Connection>>>,
     attempt_count: Cell<usize>,
@@ -156,14 +156,14 @@
 
 impl Traffic {
     /// Starts a deployment's clients.
-    pub fn start(site: Arc<Site>, front: Arc<Front>) -> Self {
+    pub fn start(site: Arc<Site>, load_balancer: Arc<LoadBalancer>) -> Self {
         let stopped: Arc<AtomicBool> = Arc::default();
         let stop = stopped.clone();
         let thread = std::thread::spawn(move || {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-            let idle = front.addresses.iter().map(|_| RefCell::default()).collect();
-            let clients = Clients { site, front, idle, attempt_count: Cell::default() };
+            let idle = load_balancer.addresses.iter().map(|_| RefCell::default()).collect();
+            let clients = Clients { site, load_balancer, idle, attempt_count: Cell::default() };
             LocalSet::new().block_on(&runtime, Rc::new(clients).run(stop))
         });
         Self { stopped, thread }
@@ -191,7 +191,7 @@
 
     /// Sends one request, and once more if its connection closed without a byte of an answer.
     async fn request(self: Rc<Self>, number: usize) -> Request {
-        let plan = Plan::new(number, &self.site, &self.front);
+        let plan = Plan::new(number, &self.site, &self.load_balancer);
         let deadline = Instant::now() + self.site.classes[plan.class].deadline();
         let idle = self.open_idle_connection(plan.proxy);
         let mut attempts = vec![self.send(plan, deadline, idle).await];
@@ -201,7 +201,7 @@
         Request { class: plan.class, attempts }
     }
 
-    /// One attempt, on the idle connection or else on a new one.
+    /// Makes one attempt, on the idle connection or else on a new one.
     async fn send(&self, plan: Plan, deadline: Instant, idle: Option<Connection>) -> Attempt {
         let on_new_connection = idle.is_none();
         let connection = match idle {
@@ -210,12 +210,12 @@
         };
         let proxy = connection.as_ref().map_or_else(|proxy| *proxy, |connection| connection.proxy);
         let txn = self.next_txn(proxy);
-        let mut sent = Instant::now();
+        let mut sent_at = Instant::now();
         let end = match connection {
             Err(_) => End::Unreachable,
-            Ok(connection) => self.exchange(connection, plan, &txn, deadline, &mut sent).await,
+            Ok(connection) => self.exchange(connection, plan, &txn, deadline, &mut sent_at).await,
         };
-        Attempt { proxy, txn, on_new_connection, sent, end }
+        Attempt { proxy, txn, on_new_connection, sent_at, end }
     }
 
     fn next_txn(&self, proxy: usize) -> String {
@@ -234,10 +234,10 @@
         }
     }
 
-    /// A new connection to this proxy or the next that is not leaving. The error is the proxy that was not reached.
+    /// Opens a connection to this proxy or to the next that is not leaving. On error, returns the proxy that was tried.
     async fn connect(&self, first: usize) -> Result<Connection, usize> {
-        let proxy = self.front.pick(first).expect("one proxy is not leaving");
-        let connecting = TcpStream::connect(self.front.addresses[proxy]);
+        let proxy = self.load_balancer.pick(first).expect("one proxy is not leaving");
+        let connecting = TcpStream::connect(self.load_balancer.addresses[proxy]);
         let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await else {
             return Err(proxy);
         };
@@ -252,7 +252,7 @@
         plan: Plan,
         txn: &str,
         deadline: Instant,
-        sent: &mut Instant,
+        sent_at: &mut Instant,
     ) -> End {
         let text = self.request_text(plan, txn, deadline);
         for (n, piece) in pieces(&text, plan.pieces).enumerate() {
@@ -263,12 +263,12 @@
                 return End::NotSent;
             }
         }
-        *sent = Instant::now();
-        let wait = deadline.saturating_duration_since(*sent) + ANSWER_TOLERANCE;
+        *sent_at = Instant::now();
+        let wait = deadline.saturating_duration_since(*sent_at) + ANSWER_TOLERANCE;
         let answer = match tokio::time::timeout(wait, connection.stream.read()).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(ReadError::Malformed)) => return End::WrongAnswer,
-            Ok(Err(_)) if connection.stream.is_clean() => return End::Closed(sent.elapsed()),
+            Ok(Err(_)) if connection.stream.is_clean() => return End::Closed(sent_at.elapsed()),
             Ok(Err(_)) => return End::Truncated,
             Err(_) => return End::TimedOut,
         };
--- a/tests/fleet/deployments/site.rs
+++ b/tests/fleet/deployments/site.rs
@@ -236,17 +236,17 @@
         self.tiers.last().expect("a deployment has a tier")
     }
 
-    /// The settings of proxy `me` of `instances`.
-    pub fn settings(&self, me: usize, instances: usize) -> Value {
+    /// The settings of proxy `proxy_index` of `instances`.
+    pub fn settings(&self, proxy_index: usize, instances: usize) -> Value {
         let classes: Vec<Value> = self.classes.iter().map(Class::settings).collect();
         json!({
-            "caps": self.caps(), "classes": classes, "me": me, "n-instances": instances, "quantum": 0.005,
+            "caps": self.caps(), "classes": classes, "me": proxy_index, "n-instances": instances, "quantum": 0.005,
             "costs": {"connection": self.prices.connection, "cross-zone": self.prices.cross_zone,
                       "handshake": self.prices.handshake},
             "over-share-worth": self.load.over_share_worth,
             "registry-mode": if self.discovery.mode == "ask" { "subscribe" } else { "automatic" },
             "projects": self.projects(), "rules": self.rules(),
-            "tier": self.tiers.len() - 1, "zone": self.zone(me), "zones": self.net.zones,
+            "tier": self.tiers.len() - 1, "zone": self.zone(proxy_index), "zones": self.net.zones,
         })
     }
 
--- a/tests/fleet/durable.rs
+++ b/tests/fleet/durable.rs
@@ -19,9 +19,9 @@
 }
 
 /// The full list: its revision, and the id, lifecycle and weight of each entry.
-fn listed(at: SocketAddr) -> (u64, Vec<(String, String, f64)>) {
+fn listed(node_address: SocketAddr) -> (u64, Vec<(String, String, f64)>) {
     let (status, list) =
-        registry::call(at, "GET", "/api/targets", &Value::Null).expect("the list is answered");
+        registry::call(node_address, "GET", "/api/targets", &Value::Null).expect("the list is answered");
     assert_eq!(status, 200);
     let entry = |i: &Value| {
         let text = |k: &str| i[k].as_str().unwrap_or_default().to_string();
@@ -37,24 +37,29 @@
     let _ = std::fs::remove_dir_all(&dir);
     let mut fleet = harness::fleet(Duration::from_secs(60));
     let mut node = fleet.registry(&config(&dir)).expect("the list service starts");
-    let at = node.address();
+    let node_address = node.address();
 
     // A burst of registrations, then drains and weight changes of some; each is acknowledged with its revision.
     let start = Instant::now();
     let mut last = 0;
     for n in 0..REGISTRATIONS {
         let address = SocketAddr::from(([127, 0, 0, 1], 20_000 + n as u16));
-        let (status, body) =
-            registry::call(at, "POST", "/v1/register", &registration(&format!("s-{n}"), address, 300_000))
-                .expect("a registration is answered");
+        let (status, body) = registry::call(
+            node_address,
+            "POST",
+            "/v1/register",
+            &registration(&format!("s-{n}"), address, 300_000),
+        )
+        .expect("a registration is answered");
         assert_eq!(status, 200, "{body}");
         last = body["revision"].as_u64().expect("a revision");
     }
     let registrations_per_s = REGISTRATIONS as f64 / start.elapsed().as_secs_f64();
     for n in (0..REGISTRATIONS).step_by(10) {
-        let drained = registry::call(at, "POST", "/v1/drain", &json!({"instanceId": format!("s-{n}")}));
+        let drained =
+            registry::call(node_address, "POST", "/v1/drain", &json!({"instanceId": format!("s-{n}")}));
         let weight_set = registry::call(
-            at,
+            node_address,
             "POST",
             "/v1/weight",
             &json!({"instanceId": format!("s-{}", n + 1), "weight": 2.5}),
@@ -62,14 +67,14 @@
         assert_eq!(drained.map(|(s, _)| s), Some(200));
         last = weight_set.expect("a weight change is answered").1["revision"].as_u64().expect("a revision");
     }
-    let before = listed(at);
+    let before = listed(node_address);
     assert_eq!(before.0, last);
     assert_eq!(before.1.len(), REGISTRATIONS);
     eprintln!(
         "durable: {REGISTRATIONS} registrations acknowledged, {registrations_per_s:.0} per second, each fsynced"
     );
 
-    // Killed without warning and started again on the same directory.
+    // The node is killed without warning and started again on the same directory.
     node.signal(Signal::SIGKILL);
     assert_eq!(node.wait_exit(Duration::from_secs(5)), Some(false));
     let restarted = fleet.registry(&config(&dir)).expect("the list service starts again");
@@ -86,8 +91,8 @@
         .append(true)
         .open(&log)
         .and_then(|mut f| f.write_all(&[200, 0, 0, 0, 1]))
-        .expect("a torn record is appended");
-    let torn = fleet.registry(&config(&dir)).expect("a torn last record does not stop the start");
+        .expect("a truncated record is appended");
+    let torn = fleet.registry(&config(&dir)).expect("a truncated last record does not stop the start");
     assert_eq!(listed(torn.address()), before);
     drop(torn);
 
--- a/tests/fleet/duties.rs
+++ b/tests/fleet/duties.rs
@@ -22,8 +22,14 @@
 /// before the fault), the contender's retry, its call, one act interval, and 100 ms for a loaded machine.
 const HANDOVER_BOUND: Duration = Duration::from_millis(TTL_MS + RETRY_MS + ACT_INTERVAL_MS + 100);
 
-fn holder_config(registry: SocketAddr, name: &str, holder: &str, target: SocketAddr, rate: f64) -> String {
-    holder_config_with_ttl(registry, name, holder, target, rate, TTL_MS)
+fn holder_config(
+    registry: SocketAddr,
+    name: &str,
+    holder: &str,
+    target: SocketAddr,
+    clock_rate: f64,
+) -> String {
+    holder_config_with_ttl(registry, name, holder, target, clock_rate, TTL_MS)
 }
 
 fn holder_config_with_ttl(
@@ -31,12 +37,13 @@
     name: &str,
     holder: &str,
     target: SocketAddr,
-    rate: f64,
+    clock_rate: f64,
     ttl_ms: u64,
 ) -> String {
     format!(
         "registry = [\"{registry}\"]\nname = \"{name}\"\nholder = \"{holder}\"\nttl_ms = {ttl_ms}\n\
-         retry_ms = {RETRY_MS}\nclock_rate = {rate}\n[duty]\ntarget = \"{target}\"\nevery_ms = {ACT_INTERVAL_MS}\n"
+         retry_ms = {RETRY_MS}\nclock_rate = {clock_rate}\n[duty]\ntarget = \"{target}\"\n\
+         every_ms = {ACT_INTERVAL_MS}\n"
     )
 }
 
@@ -45,7 +52,7 @@
     (list, Resource::start().expect("the resource starts"))
 }
 
-/// Sleeps while the processes act; the tests judge the acts by the record.
+/// Sleeps while the processes act; the tests check the recorded acts.
 fn sleep(duration: Duration) {
     std::thread::sleep(duration);
 }
@@ -61,11 +68,11 @@
     assert!(resource.acts().iter().all(|act| act.holder == "h-a"), "only the first holder acts");
 
     a.signal(Signal::SIGSTOP);
-    let stopped = Instant::now();
+    let stopped_at = Instant::now();
     let (second, taken_over_at) =
         resource.first_admitted_above(first, Duration::from_secs(5)).expect("the duty is taken over");
-    let handover = taken_over_at - stopped;
-    sleep((stopped + Duration::from_millis(2500)).saturating_duration_since(Instant::now()));
+    let handover = taken_over_at - stopped_at;
+    sleep((stopped_at + Duration::from_millis(2500)).saturating_duration_since(Instant::now()));
     a.signal(Signal::SIGCONT);
     sleep(Duration::from_millis(600));
 
@@ -104,10 +111,10 @@
 
     // The holder is cut from the list service but not from the resource, so it must stop by its own bound.
     relay.set(Fault::BlackHole);
-    let cut = Instant::now();
+    let cut_at = Instant::now();
     let (_, taken_over_at) =
         resource.first_admitted_above(first, Duration::from_secs(5)).expect("the duty is taken over");
-    let handover = taken_over_at - cut;
+    let handover = taken_over_at - cut_at;
     sleep(Duration::from_millis(1000));
 
     let acts = resource.acts();
@@ -169,10 +176,10 @@
     let accepted = relay.counts().accepted.load(Ordering::SeqCst);
 
     a.kill();
-    let killed = Instant::now();
+    let killed_at = Instant::now();
     let (_, taken_over_at) =
         resource.first_admitted_above(first, Duration::from_secs(5)).expect("the duty is taken over");
-    let handover = taken_over_at - killed;
+    let handover = taken_over_at - killed_at;
     let tally = resource::tally(&resource.acts());
     eprintln!(
         "fast clock, lost renewals: {dropped} of {accepted} calls lost, handover {handover:?}, {tally:?}"
@@ -185,7 +192,7 @@
 }
 
 /// The leader is killed during a holder's renewals, three times, at different points of the renewal interval: the holder
-/// keeps its duty or the other takes it over, and never do both act.
+/// keeps its duty or the other takes it over, and the two never act at the same time.
 #[test]
 fn a_leader_change_during_renewals_leaves_one_holder() {
     const ROUNDS: u64 = 3;
@@ -197,13 +204,13 @@
     cluster.leader();
     let resource = Resource::start().expect("the resource starts");
     let nodes: Vec<String> = cluster.fronts().iter().map(|a| format!("\"{a}\"")).collect();
-    let config = |holder: &str, rate: f64| {
+    let config = |holder: &str, clock_rate: f64| {
         let single_node = holder_config_with_ttl(
             cluster.front(0),
             "warm",
             holder,
             resource.address(),
-            rate,
+            clock_rate,
             LEADER_CHANGE_TTL_MS,
         );
         single_node.replacen(&format!("[\"{}\"]", cluster.front(0)), &format!("[{}]", nodes.join(", ")), 1)
@@ -258,13 +265,13 @@
         .iter()
         .enumerate()
         .map(|(n, relay)| {
-            let rate = rng.random_range(0.98..=1.02);
+            let clock_rate = rng.random_range(0.98..=1.02);
             let config = holder_config_with_ttl(
                 relay.address(),
                 &format!("run-{run}"),
                 &format!("h-{n}"),
                 resource.address(),
-                rate,
+                clock_rate,
                 RUN_TTL_MS,
             );
             fleet.holder(&config).expect("a holder starts")
--- a/tests/fleet/failing_disk.rs
+++ b/tests/fleet/failing_disk.rs
@@ -16,8 +16,9 @@
 /// For how long the test registers backends.
 const DURATION: Duration = Duration::from_millis(4_500);
 
-fn listed(at: SocketAddr) -> BTreeSet<String> {
-    let (status, list) = call(at, "GET", "/api/targets", &Value::Null).expect("the list is answered");
+fn listed(node_address: SocketAddr) -> BTreeSet<String> {
+    let (status, list) =
+        call(node_address, "GET", "/api/targets", &Value::Null).expect("the list is answered");
     assert_eq!(status, 200);
     let entries = list["instances"].as_array().expect("entries");
     entries.iter().filter_map(|entry| entry["instanceId"].as_str().map(str::to_string)).collect()
@@ -34,7 +35,7 @@
     fleet.set_environment(faults.environment());
     let config = format!("listen = \"127.0.0.1:0\"\ndata_dir = \"{}\"\n", dir.display());
     let mut node = fleet.registry(&config).expect("the list service starts");
-    let (at, start) = (node.address(), Instant::now());
+    let (node_address, start) = (node.address(), Instant::now());
     let (mut acknowledged, mut rejected, mut after_failure) = (BTreeSet::new(), 0, Vec::new());
     for n in 0.. {
         if start.elapsed() > DURATION {
@@ -42,7 +43,7 @@
         }
         let id = format!("s-{n}");
         let address = SocketAddr::from(([127, 0, 0, 1], 20_000 + n as u16));
-        let answer = call(at, "POST", "/v1/register", &registration(&id, address, 300_000));
+        let answer = call(node_address, "POST", "/v1/register", &registration(&id, address, 300_000));
         let is_acknowledged = matches!(answer, Some((200, _)));
         if is_acknowledged {
             acknowledged.insert(id);
@@ -60,7 +61,7 @@
         "{name}: writes acknowledged after the disk works again: {after_failure:?}"
     );
     eprintln!("{name}: {} acknowledged, {rejected} not", acknowledged.len());
-    let lost: Vec<_> = acknowledged.difference(&listed(at)).cloned().collect();
+    let lost: Vec<_> = acknowledged.difference(&listed(node_address)).cloned().collect();
     assert!(lost.is_empty(), "{name}: acknowledged but not listed: {lost:?}");
     node.kill();
     fleet.set_environment(Vec::new());
--- a/tests/fleet/failing_files.rs
+++ b/tests/fleet/failing_files.rs
@@ -5,7 +5,7 @@
 use crate::harness::discovery::{Discovery, Listing};
 use crate::harness::process::{Fleet, Process};
 use crate::harness::registry::{call, registration};
-use crate::ready;
+use crate::wait_until_ready;
 use fleet_testbed::syscall_faults::SyscallFaults;
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
@@ -14,7 +14,7 @@
 const FLEET_DEADLINE: Duration = Duration::from_secs(60);
 /// When files stop failing, in milliseconds after the process's start.
 const FAULT_END_MS: u64 = 3_000;
-/// Ends long after files stop failing.
+/// The time to recover; it ends long after files stop failing.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 
 fn set_file_fault(fleet: &mut Fleet, rule: &str, from_ms: u64) {
@@ -52,7 +52,7 @@
     set_file_fault(&mut fleet, "open=ENFILE@1", 1_000);
     let mut config = config(&discovery);
     let proxy = fleet.proxy(&config.to_string(), discovery.agent(0)).expect("a proxy starts");
-    ready(&proxy);
+    wait_until_ready(&proxy);
     // Opening files fails now and for a while longer.
     std::thread::sleep(Duration::from_millis(1_500).saturating_sub(started_at.elapsed()));
     config["discovery"] = json!(discovery.agent(1).to_string());
@@ -80,7 +80,7 @@
     config["list_cache"] = json!(cache.display().to_string());
     config["known"] = json!({"generation": 0, "reset": true, "instances": []});
     let proxy = fleet.proxy(&config.to_string(), node.address()).expect("a proxy starts");
-    ready(&proxy);
+    wait_until_ready(&proxy);
     read_log_until(&proxy, &format!("list cache {}: No space left", cache.display()));
     let deadline = Instant::now() + RECOVERY_TIMEOUT;
     let cached = || serde_json::from_slice::<Value>(&std::fs::read(&cache).ok()?).ok();
--- a/tests/fleet/hard.rs
+++ b/tests/fleet/hard.rs
@@ -153,7 +153,7 @@
 
     relay.set(Fault::BlackHole);
     let hung = send_request(relay.address(), timeout);
-    assert!(matches!(hung, Err(ErrorKind::WouldBlock | ErrorKind::TimedOut)), "no time-out: {hung:?}");
+    assert!(matches!(hung, Err(ErrorKind::WouldBlock | ErrorKind::TimedOut)), "no timeout: {hung:?}");
     let request_count = backend.seen().len();
 
     relay.set(Fault::Cut);
--- a/tests/fleet/hardening.rs
+++ b/tests/fleet/hardening.rs
@@ -11,7 +11,7 @@
 use crate::harness::process::Process;
 use crate::harness::registry;
 use crate::harness::relay::{Fault, Relay, Tap};
-use crate::ready;
+use crate::wait_until_ready;
 use nix::sys::signal::Signal;
 use serde_json::json;
 use std::collections::{HashMap, HashSet};
@@ -128,13 +128,17 @@
         .collect();
     let listed = |b: &Backend| Listing { id: b.name().into(), address: b.address(), ..Listing::default() };
     let discovery = Discovery::start(backends.iter().map(listed).collect(), PROXIES).expect("discovery");
-    let config = |me: usize, seed: u64| {
-        harness::config(&harness::settings(me, PROXIES, 0.4), &discovery.known(), seed)
+    let config = |proxy_index: usize, seed: u64| {
+        harness::config(&harness::settings(proxy_index, PROXIES, 0.4), &discovery.known(), seed)
     };
     let mut proxies: Vec<Process> = (0..PROXIES)
-        .map(|me| fleet.proxy(&config(me, me as u64), discovery.agent(me)).expect("a proxy starts"))
+        .map(|proxy_index| {
+            fleet
+                .proxy(&config(proxy_index, proxy_index as u64), discovery.agent(proxy_index))
+                .expect("a proxy starts")
+        })
         .collect();
-    proxies.iter().for_each(ready);
+    proxies.iter().for_each(wait_until_ready);
     let addresses: Arc<Vec<SocketAddr>> = Arc::new(proxies.iter().map(Process::address).collect());
     let leaving: Arc<Vec<AtomicBool>> = Arc::new((0..PROXIES).map(|_| AtomicBool::new(false)).collect());
     let ended = Arc::new(AtomicBool::new(false));
@@ -155,7 +159,7 @@
     std::thread::sleep(Duration::from_millis(500));
     for n in 0..PROXIES {
         proxies[n].signal(Signal::SIGTERM);
-        // For a moment the front still opens connections to the proxy, and clients use those that are open.
+        // For a moment new connections to the proxy are still opened, and clients use those that are open.
         std::thread::sleep(Duration::from_millis(300));
         leaving[n].store(true, Ordering::SeqCst);
         assert_eq!(proxies[n].wait_exit(Duration::from_secs(8)), Some(true), "it exits by itself");
@@ -163,7 +167,7 @@
         let agent = [discovery.agent(n)];
         proxies[n] =
             fleet.proxy_at(&config(n, 100 + n as u64), &agent, addresses[n]).expect("it starts again");
-        ready(&proxies[n]);
+        wait_until_ready(&proxies[n]);
         assert!(restarted_at.elapsed() < Duration::from_secs(10), "ready in time");
         leaving[n].store(false, Ordering::SeqCst);
         std::thread::sleep(Duration::from_millis(300));
@@ -173,8 +177,8 @@
     fleet.check_deadline();
 
     let mut run_counts: HashMap<String, usize> = HashMap::new();
-    for seen in backends.iter().flat_map(Backend::seen) {
-        *run_counts.entry(seen.txn).or_default() += 1;
+    for received in backends.iter().flat_map(Backend::seen) {
+        *run_counts.entry(received.txn).or_default() += 1;
     }
     let closed: Vec<&Record> = records.iter().filter(|t| t.result.is_err()).collect();
     let lost: Vec<_> = closed.iter().filter(|t| run_counts.contains_key(&t.txn)).collect();
@@ -213,8 +217,8 @@
         .collect();
     let listed = |b: &Backend| Listing { id: b.name().into(), address: b.address(), ..Listing::default() };
     let discovery = Discovery::start(backends.iter().map(listed).collect(), PROXIES).expect("discovery");
-    let config = |me: usize, seed: u64| {
-        let mut settings = harness::settings(me, PROXIES, 0.4);
+    let config = |proxy_index: usize, seed: u64| {
+        let mut settings = harness::settings(proxy_index, PROXIES, 0.4);
         for (key, value) in [
             ("cold", SLOW_START_S),
             ("cold-share", MIN_CAPACITY_FRACTION),
@@ -226,21 +230,25 @@
         harness::config(&settings, &discovery.known(), seed)
     };
     let proxies: Vec<Process> = (0..PROXIES)
-        .map(|me| fleet.proxy(&config(me, me as u64), discovery.agent(me)).expect("a proxy starts"))
+        .map(|proxy_index| {
+            fleet
+                .proxy(&config(proxy_index, proxy_index as u64), discovery.agent(proxy_index))
+                .expect("a proxy starts")
+        })
         .collect();
-    proxies.iter().for_each(ready);
+    proxies.iter().for_each(wait_until_ready);
     let ended = Arc::new(AtomicBool::new(false));
     let sent_count = Arc::new(AtomicUsize::new(0));
     // One client per proxy; some send several times as much as the others.
     let clients: Vec<_> = proxies
         .iter()
         .enumerate()
-        .map(|(me, proxy)| {
+        .map(|(proxy_index, proxy)| {
             let (address, ended, sent_count) = (proxy.address(), ended.clone(), sent_count.clone());
-            let interval = Duration::from_millis(if me % 6 == 0 { 60 } else { 200 });
+            let interval = Duration::from_millis(if proxy_index % 6 == 0 { 60 } else { 200 });
             std::thread::spawn(move || {
                 let mut open_connection = None;
-                let mut next_send_at = Instant::now() + interval.mul_f64(me as f64 / PROXIES as f64);
+                let mut next_send_at = Instant::now() + interval.mul_f64(proxy_index as f64 / PROXIES as f64);
                 while !ended.load(Ordering::SeqCst) {
                     std::thread::sleep(next_send_at.saturating_duration_since(Instant::now()));
                     next_send_at += interval;
@@ -258,7 +266,7 @@
         })
         .collect();
     std::thread::sleep(Duration::from_secs(4));
-    let seen_before: usize = backends.iter().map(|b| b.seen().len()).sum();
+    let received_before: usize = backends.iter().map(|b| b.seen().len()).sum();
     let (restart_time, restarted_at) = (std::time::SystemTime::now(), Instant::now());
     let started_ms =
         restart_time.duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_millis() as f64;
@@ -271,7 +279,7 @@
         (0..PROXIES).map(|p| discovery.notified_at(p, generation).expect("each is notified")).max();
     let all_notified_at = all_notified_at.expect("there are proxies") + Duration::from_millis(50);
 
-    let total: usize = backends.iter().map(|b| b.seen().len()).sum::<usize>() - seen_before;
+    let total: usize = backends.iter().map(|b| b.seen().len()).sum::<usize>() - received_before;
     let mean_rate = total as f64 / SLOW_START_S / BACKENDS as f64;
     let arrivals: Vec<Instant> =
         backends[0].seen().iter().map(|s| s.at).filter(|at| *at > all_notified_at).collect();
@@ -311,7 +319,7 @@
     }
 }
 
-/// Answers every call with `list`, a watch only after a delay.
+/// Answers every call with `list`; a watch is answered after a delay.
 fn serve_list(listener: TcpListener, list: String) {
     for stream in listener.incoming().map_while(Result::ok) {
         let list = list.clone();
@@ -441,16 +449,16 @@
     let mut fleet = harness::fleet(Duration::from_secs(90));
     let list =
         fleet.registry("listen = \"127.0.0.1:0\"\nexpire_every_ms = 50\n").expect("the list service starts");
-    let at = list.address();
+    let node_address = list.address();
     let backends: Vec<Backend> = (0..2)
         .map(|n| Backend::start(&format!("b-{n}"), Duration::from_millis(5)).expect("a backend starts"))
         .collect();
     let write = |path: &str, body: &serde_json::Value| {
-        let answer = registry::call(at, "POST", path, body);
+        let answer = registry::call(node_address, "POST", path, body);
         assert_eq!(answer.as_ref().map(|(status, _)| *status), Some(200), "{path} {body}: {answer:?}");
     };
     write("/v1/register", &registry::registration("b-0", backends[0].address(), 60_000));
-    // More entries, so that the list is longer than one piece of bytes.
+    // More entries make the list longer than one piece of bytes.
     for n in 0..EXTRA_ENTRIES {
         let id = format!("away-{n}");
         write("/v1/register", &registry::registration(&id, backends[1].address(), 60_000));
@@ -470,15 +478,16 @@
                 all_relays.lock().expect("not poisoned")[index].set(Fault::BlackHoleFrom);
             }
         });
-        let relay = Relay::start_with(at, Some(tap)).expect("a relay starts");
+        let relay = Relay::start_with(node_address, Some(tap)).expect("a relay starts");
         relays.lock().expect("not poisoned").push(relay);
     }
     let addresses: Vec<SocketAddr> =
         relays.lock().expect("not poisoned").iter().map(Relay::address).collect();
     let empty = json!({"generation": 0, "reset": true, "instances": []});
     let proxies: Vec<Process> = (0..4)
-        .map(|me| {
-            let config = harness::config(&harness::settings(me, 4, 0.4), &empty, 0xab + me as u64);
+        .map(|proxy_index| {
+            let config =
+                harness::config(&harness::settings(proxy_index, 4, 0.4), &empty, 0xab + proxy_index as u64);
             fleet.proxy_of(&config, &addresses).expect("a proxy starts")
         })
         .collect();
--- a/tests/fleet/harness/client.rs
+++ b/tests/fleet/harness/client.rs
@@ -1,6 +1,7 @@
-//! Clients and the front that distributes their connections over proxies, as `PROTOCOL` describes them. A client
-//! sends one request at a time on a keep-alive connection. It retries a request that failed at a dead proxy at another
-//! one if a repeat is safe, and on a new connection if the proxy closed the connection before it read the request.
+//! Clients and the load balancer that distributes their connections over proxies, as `PROTOCOL` describes them. A
+//! client sends one request at a time on a keep-alive connection. It retries a request that failed at a dead proxy at
+//! another one if a repeat is safe, and on a new connection if the proxy closed the connection before it read the
+//! request.
 //!
 //! Every request ends in exactly one `Outcome`. The record lists each attempt with its proxy and `X-Txn`, so that a
 //! test can find which proxy sent a request that a backend received.
@@ -14,7 +15,7 @@
 
 /// The longest wait for an answer: longer than any deadline in the tests, so a request that waits this long is lost.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
-/// The maximum of attempts per request: it is retried after a dead proxy or a close before the request was read.
+/// The maximum number of attempts per request: it is retried after a dead proxy or a close before the request was read.
 const MAX_ATTEMPTS: usize = 3;
 
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
@@ -68,22 +69,22 @@
     pub ended_at: Instant,
 }
 
-/// The front of the proxies: it distributes connections over those that are not marked down.
-pub struct Front {
+/// The load balancer in front of the proxies: it distributes connections over those that are not marked down.
+pub struct LoadBalancer {
     proxies: Vec<SocketAddr>,
     down: Vec<AtomicBool>,
     next: AtomicUsize,
 }
 
-impl Front {
-    /// A front of these proxies, none marked down.
+impl LoadBalancer {
+    /// Creates a load balancer for these proxies, none marked down.
     pub fn new(proxies: Vec<SocketAddr>) -> Arc<Self> {
         let down = proxies.iter().map(|_| AtomicBool::new(false)).collect();
         Arc::new(Self { proxies, down, next: AtomicUsize::new(0) })
     }
 
     /// Marks proxy `n` as down: it gets no new connection, and a failure there counts as the proxy's. A test calls this
-    /// just before it kills `n`, like a front that is notified.
+    /// just before it kills `n`, like a load balancer that is notified.
     pub fn mark_down(&self, n: usize) {
         self.down[n].store(true, Ordering::SeqCst);
     }
@@ -106,7 +107,7 @@
 pub struct Load {
     /// The number of clients; each sends one request at a time.
     pub clients: usize,
-    /// The maximum of requests of all clients together.
+    /// The maximum number of requests of all clients together.
     pub max_requests: usize,
     /// When to stop sending.
     pub send_until: Instant,
@@ -117,12 +118,12 @@
 }
 
 /// Runs the clients until `load.send_until` or `load.max_requests`; returns every request's record.
-pub fn run(front: &Arc<Front>, load: Load) -> Vec<Record> {
+pub fn run(load_balancer: &Arc<LoadBalancer>, load: Load) -> Vec<Record> {
     let records = Arc::new(Mutex::new(Vec::new()));
     let sent = Arc::new(AtomicUsize::new(0));
     let threads: Vec<_> = (0..load.clients)
         .map(|client| {
-            let (front, records, sent) = (front.clone(), records.clone(), sent.clone());
+            let (load_balancer, records, sent) = (load_balancer.clone(), records.clone(), sent.clone());
             std::thread::spawn(move || {
                 let mut connection: Option<(usize, BufReader<TcpStream>)> = None;
                 let mut number = client;
@@ -131,7 +132,7 @@
                 {
                     let kind = [Kind::Status, Kind::Sms, Kind::Batch][number % 3];
                     number += 1;
-                    let record = send_request(&front, &mut connection, kind, load.remaining_ms);
+                    let record = send_request(&load_balancer, &mut connection, kind, load.remaining_ms);
                     records.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push(record);
                     std::thread::sleep(load.pause);
                 }
@@ -169,7 +170,7 @@
 
 /// Sends one request, with retries, until it has an outcome.
 fn send_request(
-    front: &Front,
+    load_balancer: &LoadBalancer,
     kept_connection: &mut Option<(usize, BufReader<TcpStream>)>,
     kind: Kind,
     remaining_ms: u64,
@@ -178,9 +179,10 @@
     let mut attempts = Vec::new();
     let mut excluded = None;
     let outcome = loop {
-        let reused = kept_connection.as_ref().is_some_and(|(n, _)| !front.is_down(*n));
+        let reused = kept_connection.as_ref().is_some_and(|(n, _)| !load_balancer.is_down(*n));
         if !reused {
-            *kept_connection = front.pick(excluded).and_then(|n| connect(front.proxies[n]).map(|c| (n, c)));
+            *kept_connection =
+                load_balancer.pick(excluded).and_then(|n| connect(load_balancer.proxies[n]).map(|c| (n, c)));
         }
         let Some((proxy, connection)) = kept_connection.as_mut() else {
             break Outcome::Broken(usize::MAX);
@@ -199,7 +201,7 @@
             Err(ReadError::Malformed) => break Outcome::WrongAnswer(proxy),
             Err(error) => {
                 *kept_connection = None;
-                let is_dead = front.is_down(proxy);
+                let is_dead = load_balancer.is_down(proxy);
                 let closed_unread = error == ReadError::Closed && reused && !is_dead;
                 let may_retry = closed_unread || (is_dead && kind != Kind::Sms);
                 if is_dead && kind == Kind::Sms {
--- a/tests/fleet/harness/mod.rs
+++ b/tests/fleet/harness/mod.rs
@@ -47,10 +47,10 @@
 
 use serde_json::{Value, json};
 
-/// The settings of a proxy of the harness: the three request classes, number `me` of `instances` proxies, and the
-/// drain grace in seconds. After the notification of a drain, a request assigned to the backend before it is sent
+/// The settings of a proxy of the harness: the three request classes, number `proxy_index` of `instances` proxies, and
+/// the drain grace in seconds. After the notification of a drain, a request assigned to the backend before it is sent
 /// within half the drain grace or not at all.
-pub fn settings(me: usize, instances: usize, drain_grace: f64) -> Value {
+pub fn settings(proxy_index: usize, instances: usize, drain_grace: f64) -> Value {
     let class = |name: &str, effect: &str, on_time: f64, hard_limit: f64| {
         json!({"name": name, "effect": effect, "group": "all", "window": 30.0, "on-time": on_time,
                "hard-limit": hard_limit, "worth": 1.0})
@@ -61,7 +61,7 @@
                  "second-copies": true},
         "classes": [class("status-check", "free", 0.3, 2.0), class("send-sms", "single_shot", 0.5, 2.0),
                     class("send-batch", "guarded", 0.5, 2.0)],
-        "me": me, "n-instances": instances, "quantum": 0.005, "registry-mode": "automatic",
+        "me": proxy_index, "n-instances": instances, "quantum": 0.005, "registry-mode": "automatic",
         "projects": [{"name": "default", "quota-per-s": 10000.0}],
         "rules": {"ask-within": 10.0, "cold": 0.0, "cold-share": 1.0, "drain-grace": drain_grace,
                   "fall-multiple": 3.0, "tip-after": 1.0},
--- a/tests/fleet/harness/resource.rs
+++ b/tests/fleet/harness/resource.rs
@@ -1,6 +1,6 @@
 //! A fake resource that duties act on. It records every act with its fencing token and holder, and admits it only if
-//! `lease::Fence` has seen no higher token (409 otherwise). From the record a test counts acts that were rejected or
-//! overlapped, and measures handovers.
+//! `lease::Fence` has admitted no higher token (409 otherwise). From the record a test counts acts that were rejected
+//! or overlapped, and measures handovers.
 
 use super::http;
 use linkhatch_proxy::lease::Fence;
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The maximum of recorded acts; further ones get a 503, so that a runaway holder causes a failure and not a hang.
+/// The maximum number of recorded acts; further ones get a 503, so that a runaway holder fails the test.
 pub const MAX_ACTS: usize = 200_000;
 
 /// One act as the resource received it.
--- a/tests/fleet/listing.rs
+++ b/tests/fleet/listing.rs
@@ -3,7 +3,7 @@
 
 use crate::harness;
 use crate::harness::backend::Backend;
-use crate::harness::client::{self, Front, Kind, Load, Outcome};
+use crate::harness::client::{self, Kind, Load, LoadBalancer, Outcome};
 use crate::harness::process::Process;
 use crate::harness::registry::{self, Heartbeats};
 use crate::harness::relay::{Fault, Relay};
@@ -24,24 +24,28 @@
     let mut fleet = harness::fleet(Duration::from_secs(60));
     let mut list =
         fleet.registry("listen = \"127.0.0.1:0\"\nexpire_every_ms = 50\n").expect("the list service starts");
-    let at = list.address();
+    let node_address = list.address();
 
     let backends: Vec<Backend> = (0..BACKENDS)
         .map(|n| Backend::start(&format!("b-{n}"), Duration::from_millis(10)).expect("a backend starts"))
         .collect();
     let heartbeats: Vec<Heartbeats> = backends
         .iter()
-        .map(|b| Heartbeats::start(at, b.name(), b.address(), TTL_MS, Duration::from_millis(200)))
+        .map(|b| Heartbeats::start(node_address, b.name(), b.address(), TTL_MS, Duration::from_millis(200)))
         .collect();
     // Each proxy starts with an empty list: every entry comes from the list service.
     let empty = json!({"generation": 0, "reset": true, "instances": []});
     let proxies: Vec<Process> = (0..PROXIES)
-        .map(|me| {
-            let config = harness::config(&harness::settings(me, PROXIES, 0.4), &empty, 0x11a7 + me as u64);
-            fleet.proxy(&config, at).expect("a proxy starts")
+        .map(|proxy_index| {
+            let config = harness::config(
+                &harness::settings(proxy_index, PROXIES, 0.4),
+                &empty,
+                0x11a7 + proxy_index as u64,
+            );
+            fleet.proxy(&config, node_address).expect("a proxy starts")
         })
         .collect();
-    let front = Front::new(proxies.iter().map(Process::address).collect());
+    let load_balancer = LoadBalancer::new(proxies.iter().map(Process::address).collect());
     // Waits until every proxy has served a request, and therefore has its list.
     let deadline = Instant::now() + Duration::from_secs(5);
     let mut listed = HashSet::new();
@@ -54,7 +58,8 @@
             remaining_ms: 1000,
             pause: Duration::from_millis(20),
         };
-        let served = client::run(&front, probe).into_iter().filter(|r| r.outcome == Outcome::Answered(200));
+        let served =
+            client::run(&load_balancer, probe).into_iter().filter(|r| r.outcome == Outcome::Answered(200));
         listed.extend(served.filter_map(|r| r.attempts.last().map(|(p, _)| *p)));
     }
 
@@ -67,14 +72,14 @@
         pause: Duration::from_millis(2),
     };
     let traffic = {
-        let front = front.clone();
-        std::thread::spawn(move || client::run(&front, load))
+        let load_balancer = load_balancer.clone();
+        std::thread::spawn(move || client::run(&load_balancer, load))
     };
     std::thread::sleep(Duration::from_millis(500));
     heartbeats[EXPIRED].stop();
     // The removal as observed by polling: an upper bound on when the list service removed the entry.
     let deadline = Instant::now() + Duration::from_secs(5);
-    while registry::lists(at, backends[EXPIRED].name()) != Some(false) {
+    while registry::lists(node_address, backends[EXPIRED].name()) != Some(false) {
         assert!(Instant::now() < deadline, "the expired backend is not removed in time");
         std::thread::sleep(Duration::from_millis(10));
     }
@@ -140,12 +145,16 @@
         .collect();
     let empty = json!({"generation": 0, "reset": true, "instances": []});
     let proxies: Vec<Process> = (0..PROXIES)
-        .map(|me| {
-            let config = harness::config(&harness::settings(me, PROXIES, 0.4), &empty, 0x5a1 + me as u64);
+        .map(|proxy_index| {
+            let config = harness::config(
+                &harness::settings(proxy_index, PROXIES, 0.4),
+                &empty,
+                0x5a1 + proxy_index as u64,
+            );
             fleet.proxy_of(&config, &[relays[0].address(), relays[1].address()]).expect("a proxy starts")
         })
         .collect();
-    let front = Front::new(proxies.iter().map(Process::address).collect());
+    let load_balancer = LoadBalancer::new(proxies.iter().map(Process::address).collect());
     let start = Instant::now();
     let load = Load {
         clients: 4,
@@ -155,8 +164,8 @@
         pause: Duration::from_millis(2),
     };
     let traffic = {
-        let front = front.clone();
-        std::thread::spawn(move || client::run(&front, load))
+        let load_balancer = load_balancer.clone();
+        std::thread::spawn(move || client::run(&load_balancer, load))
     };
     std::thread::sleep(Duration::from_millis(600));
     // Each proxy starts at a random address: the one with more connections is cut.
--- a/tests/fleet/liveness.rs
+++ b/tests/fleet/liveness.rs
@@ -28,7 +28,7 @@
 const MAX_TIME_WITHOUT_LEADER: Duration = Duration::from_millis(2_000);
 /// The interval at which the leader removes expired entries.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The time allowed for calls, on a busy machine too.
+/// The time allowed for calls, even on a busy machine.
 const CALL_ALLOWANCE: Duration = Duration::from_millis(500);
 const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(20);
 /// The number of backends renewed in one call.
@@ -49,21 +49,21 @@
 }
 
 /// A node's complete list and its revision.
-fn revision_and_list(at: SocketAddr) -> Option<(u64, BTreeSet<String>)> {
-    let (status, list) = registry::call(at, "GET", "/api/targets", &Value::Null)?;
+fn revision_and_list(node_address: SocketAddr) -> Option<(u64, BTreeSet<String>)> {
+    let (status, list) = registry::call(node_address, "GET", "/api/targets", &Value::Null)?;
     let name = |instance: &Value| instance["instanceId"].as_str().unwrap_or_default().to_string();
     let names = list["instances"].as_array()?.iter().map(name).collect();
     (status == 200).then_some((list["generation"].as_u64()?, names))
 }
 
-fn listed(at: SocketAddr) -> Option<BTreeSet<String>> {
-    revision_and_list(at).map(|(_, list)| list)
+fn listed(node_address: SocketAddr) -> Option<BTreeSet<String>> {
+    revision_and_list(node_address).map(|(_, list)| list)
 }
 
-/// One call that renews everything on a machine; `None` if it is not answered in time.
-fn keep_alive(at: SocketAddr, body: Value) -> Option<(u16, Value)> {
+/// Renews everything on a machine with one call; returns `None` if it is not answered in time.
+fn keep_alive(node_address: SocketAddr, body: Value) -> Option<(u16, Value)> {
     let called = Loop::shared().wait(move || async move {
-        let call = call_async(at, "POST", "/v1/keepalive", &body);
+        let call = call_async(node_address, "POST", "/v1/keepalive", &body);
         tokio::time::timeout(CALL_TIMEOUT, call).await.ok().flatten()
     });
     called.flatten()
@@ -78,17 +78,17 @@
 }
 
 impl Machines {
-    fn start(fronts: &[SocketAddr], backends: std::ops::Range<usize>) -> Self {
+    fn start(addresses: &[SocketAddr], backends: std::ops::Range<usize>) -> Self {
         let (stop, answered) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
         let ids: Vec<String> = backends.map(id).collect();
         let threads = ids.chunks(BATCH_SIZE).enumerate().map(|(number, ids)| {
             let body = json!({"instances": ids});
-            let (stop, answered, fronts) = (stop.clone(), answered.clone(), fronts.to_vec());
+            let (stop, answered, addresses) = (stop.clone(), answered.clone(), addresses.to_vec());
             std::thread::spawn(move || {
                 let (mut node, mut lost) = (number, 0);
                 while !stop.load(Ordering::SeqCst) {
                     let call_started_at = Instant::now();
-                    match keep_alive(fronts[node % fronts.len()], body.clone()) {
+                    match keep_alive(addresses[node % addresses.len()], body.clone()) {
                         Some((200, answer)) => {
                             lost += answer["lost"]["instances"].as_array().map_or(0, Vec::len);
                             answered.fetch_add(1, Ordering::SeqCst);
@@ -114,14 +114,16 @@
 /// Polls the lists of all nodes; returns the backends that were missing from one. Lists older than the latest are
 /// ignored, as by proxies: a node that has just started has not applied all of its log yet.
 fn watch(
-    fronts: Vec<SocketAddr>,
+    addresses: Vec<SocketAddr>,
     all: BTreeSet<String>,
     stop: Arc<AtomicBool>,
 ) -> JoinHandle<BTreeSet<String>> {
     std::thread::spawn(move || {
         let (mut missing, mut latest) = (BTreeSet::new(), 0);
         while !stop.load(Ordering::SeqCst) {
-            for (revision, list) in fronts.iter().filter_map(|at| revision_and_list(*at)) {
+            for (revision, list) in
+                addresses.iter().filter_map(|node_address| revision_and_list(*node_address))
+            {
                 if revision >= latest {
                     latest = revision;
                     missing.extend(all.difference(&list).cloned());
@@ -163,10 +165,10 @@
 }
 
 fn register_all(cluster: &Cluster, backends: std::ops::Range<usize>) {
-    let fronts = &cluster.fronts();
+    let addresses = &cluster.fronts();
     let register = |n: usize| {
         let body = registration(&id(n), address(n), TTL.as_millis() as u64);
-        let answer = registry::call(fronts[n % fronts.len()], "POST", "/v1/register", &body);
+        let answer = registry::call(addresses[n % addresses.len()], "POST", "/v1/register", &body);
         assert_eq!(answer.map(|(status, _)| status), Some(200), "{}", id(n));
     };
     std::thread::scope(|scope| {
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -19,7 +19,7 @@
 mod upgrade;
 
 use harness::backend::Backend;
-use harness::client::{self, Front, Kind, Load, Outcome};
+use harness::client::{self, Kind, Load, LoadBalancer, Outcome};
 use harness::discovery::{Discovery, Listing};
 use harness::process::Process;
 use harness::relay::{Fault, Relay};
@@ -30,7 +30,7 @@
 use std::time::{Duration, Instant};
 
 /// Waits until the proxy answers `GET /-/ready` with 200; panics if it does not within 10 s.
-fn ready(proxy: &Process) {
+fn wait_until_ready(proxy: &Process) {
     let deadline = Instant::now() + Duration::from_secs(10);
     loop {
         let answered = TcpStream::connect(proxy.address()).ok().and_then(|mut stream| {
@@ -70,15 +70,15 @@
         .collect();
     let discovery = Discovery::start(listings, PROXIES).expect("discovery starts");
     let mut proxies: Vec<Process> = (0..PROXIES)
-        .map(|me| {
-            let settings = harness::settings(me, PROXIES, 0.4);
-            let config = harness::config(&settings, &discovery.known(), 0x5eed + me as u64);
-            fleet.proxy(&config, discovery.agent(me)).expect("a proxy starts")
+        .map(|proxy_index| {
+            let settings = harness::settings(proxy_index, PROXIES, 0.4);
+            let config = harness::config(&settings, &discovery.known(), 0x5eed + proxy_index as u64);
+            fleet.proxy(&config, discovery.agent(proxy_index)).expect("a proxy starts")
         })
         .collect();
-    proxies.iter().for_each(ready);
+    proxies.iter().for_each(wait_until_ready);
 
-    let front = Front::new(proxies.iter().map(Process::address).collect::<Vec<SocketAddr>>());
+    let load_balancer = LoadBalancer::new(proxies.iter().map(Process::address).collect::<Vec<SocketAddr>>());
     let start = Instant::now();
     let load = Load {
         clients: CLIENTS,
@@ -88,14 +88,14 @@
         pause: Duration::from_millis(2),
     };
     let traffic = {
-        let front = front.clone();
-        std::thread::spawn(move || client::run(&front, load))
+        let load_balancer = load_balancer.clone();
+        std::thread::spawn(move || client::run(&load_balancer, load))
     };
     // The faults start at fixed offsets into the traffic.
     std::thread::sleep(Duration::from_millis(700));
     relays[BLACK_HOLED].set(Fault::BlackHole);
     std::thread::sleep(Duration::from_millis(600));
-    front.mark_down(KILLED);
+    load_balancer.mark_down(KILLED);
     proxies[KILLED].signal(Signal::SIGKILL);
     std::thread::sleep(Duration::from_millis(700));
     let drain = discovery.set_lifecycle(&format!("b-{DRAINED}"), "DRAINING");
@@ -104,7 +104,9 @@
     assert_eq!(proxies[KILLED].wait_exit(Duration::from_secs(5)), Some(false), "the killed proxy has exited");
 
     // Every request has one outcome, and requests are lost only with the killed proxy.
-    let count_of = |wanted: fn(&Outcome) -> bool| records.iter().filter(|r| wanted(&r.outcome)).count();
+    let count_of = |matches_outcome: fn(&Outcome) -> bool| {
+        records.iter().filter(|r| matches_outcome(&r.outcome)).count()
+    };
     let served = count_of(|e| *e == Outcome::Answered(200));
     let answered = count_of(|e| matches!(e, Outcome::Answered(_)));
     let lost_with_proxy = count_of(|e| matches!(e, Outcome::LostWithProxy(KILLED)));
@@ -131,14 +133,18 @@
     let mut sms = HashSet::new();
     for backend in &backends {
         assert_eq!(backend.overflowed(), 0);
-        for seen in backend.seen() {
+        for received in backend.seen() {
             assert!(
-                sender.contains_key(seen.txn.as_str()),
+                sender.contains_key(received.txn.as_str()),
                 "{} received an id that no client sent",
                 backend.name()
             );
-            if seen.lane == Kind::Sms.lane() {
-                assert!(sms.insert(seen.txn.clone()), "send-sms {} reached a backend twice", seen.txn);
+            if received.lane == Kind::Sms.lane() {
+                assert!(
+                    sms.insert(received.txn.clone()),
+                    "send-sms {} reached a backend twice",
+                    received.txn
+                );
             }
         }
     }
@@ -146,13 +152,14 @@
     // No request reaches the drained backend more than the bound after its proxy was notified.
     let mut late = Vec::new();
     let notified: Vec<Option<Instant>> = (0..PROXIES).map(|p| discovery.notified_at(p, drain)).collect();
-    for (p, at) in notified.iter().enumerate().filter(|(p, _)| *p != KILLED) {
-        assert!(at.is_some(), "proxy {p} was not notified of the drain");
+    for (p, notified_at) in notified.iter().enumerate().filter(|(p, _)| *p != KILLED) {
+        assert!(notified_at.is_some(), "proxy {p} was not notified of the drain");
     }
-    for seen in backends[DRAINED].seen() {
-        let p = sender[seen.txn.as_str()];
-        if let Some(at) = notified[p].filter(|at| seen.at > *at + DRAIN_BOUND) {
-            late.push((p, seen.at - at));
+    for received in backends[DRAINED].seen() {
+        let p = sender[received.txn.as_str()];
+        if let Some(notified_at) = notified[p].filter(|notified_at| received.at > *notified_at + DRAIN_BOUND)
+        {
+            late.push((p, received.at - notified_at));
         }
     }
     let after: Vec<Duration> = backends[DRAINED]
@@ -171,8 +178,8 @@
         "sends to the drained backend more than {DRAIN_BOUND:?} after the notification: {late:?}"
     );
 
-    // Nine of ten requests are served although the black hole swallowed what reached it.
+    // Nine of ten requests are served although the black hole discarded all bytes that reached it.
     let swallowed = relays[BLACK_HOLED].counts().swallowed.load(std::sync::atomic::Ordering::Relaxed);
-    eprintln!("fleet: {swallowed} bytes swallowed by the black hole; wall {:?}", start.elapsed());
+    eprintln!("fleet: {swallowed} bytes swallowed by the black hole; elapsed {:?}", start.elapsed());
     assert!(served * 10 >= records.len() * 9, "{served} of {} served", records.len());
 }
--- a/tests/fleet/node_connections.rs
+++ b/tests/fleet/node_connections.rs
@@ -135,15 +135,15 @@
     const END_INTERVAL: Duration = Duration::from_millis(10);
     const LONG_WATCH: Duration = Duration::from_secs(6);
     let node = node("full", WATCHERS + 1);
-    let at = node.address();
+    let node_address = node.address();
     run(async move {
         let mut watchers: Vec<JoinHandle<()>> = Vec::new();
         let mut watch_twice = |first: Duration| {
-            watchers.push(spawn_local(async move { watch(at, &[first, LONG_WATCH]).await }));
+            watchers.push(spawn_local(async move { watch(node_address, &[first, LONG_WATCH]).await }));
         };
         (0..ENDING_WATCHES).for_each(|n| watch_twice(FIRST_END + END_INTERVAL * n as u32));
         (ENDING_WATCHES..WATCHERS).for_each(|_| watch_twice(LONG_WATCH));
-        let mut last_connection = connect(at).await;
+        let mut last_connection = connect(node_address).await;
         while watch_count(&mut last_connection).await < WATCHERS {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -161,7 +161,7 @@
         let body = |n: usize| {
             registration(&format!("waiting-{n}"), SocketAddr::from(([127, 0, 0, 1], 1)), LONG_TTL_MS)
         };
-        let registered = call_in_order(at, CALLERS, "/v1/register", body).await;
+        let registered = call_in_order(node_address, CALLERS, "/v1/register", body).await;
         let revision = |answer: &Message| {
             assert_eq!(answer.status(), 200);
             let reply: Value = serde_json::from_slice(&answer.body).expect("a reply");
@@ -171,7 +171,10 @@
         assert!(revisions.is_sorted(), "not served in the order of arrival: {revisions:?}");
         // Each caller that watches needs the end of another watch.
         let watched =
-            call_in_order(at, CALLERS, "/api/targets?since=1000000&timeout_ms=1000", |_| Value::Null).await;
+            call_in_order(node_address, CALLERS, "/api/targets?since=1000000&timeout_ms=1000", |_| {
+                Value::Null
+            })
+            .await;
         assert_eq!(watched.len(), CALLERS);
         let files = node.open_files();
         assert!(files <= WATCHERS + 1 + RESERVED_DESCRIPTORS, "{files} files are open");
@@ -188,7 +191,7 @@
     const CALLERS: u64 = 24;
     const DURATION: Duration = Duration::from_secs(4);
     let node = node("crossing", CAPACITY);
-    let at = node.address();
+    let node_address = node.address();
     run(async move {
         let answered = Rc::new(Cell::new(0usize));
         let unanswered = Rc::new(RefCell::new(BTreeSet::new()));
@@ -196,7 +199,7 @@
             let (answered, unanswered) = (answered.clone(), unanswered.clone());
             spawn_local(async move {
                 let mut random = SmallRng::seed_from_u64(caller);
-                let mut connection = connect(at).await;
+                let mut connection = connect(node_address).await;
                 let (deadline, mut is_first_on_connection) = (Instant::now() + DURATION, true);
                 for n in 0.. {
                     if Instant::now() > deadline {
@@ -204,7 +207,8 @@
                     }
                     let id = format!("c{caller}-{}", n % 40);
                     let unique_id = format!("u{caller}-{n}");
-                    let body = registration(if n % 4 == 0 { &unique_id } else { &id }, at, LONG_TTL_MS);
+                    let body =
+                        registration(if n % 4 == 0 { &unique_id } else { &id }, node_address, LONG_TTL_MS);
                     let end = match n % 2 {
                         0 => exchange(&mut connection, "POST", "/v1/register", &body).await,
                         _ => exchange(&mut connection, "GET", "/api/targets", &Value::Null).await,
@@ -226,7 +230,7 @@
                     };
                     is_first_on_connection = closes;
                     if closes {
-                        connection = connect(at).await;
+                        connection = connect(node_address).await;
                     }
                     tokio::time::sleep(Duration::from_micros(random.random_range(0..3_000))).await;
                 }
@@ -236,7 +240,7 @@
         for caller in callers {
             caller.await.expect("a caller panicked");
         }
-        let mut connection = connect(at).await;
+        let mut connection = connect(node_address).await;
         let list = exchange(&mut connection, "GET", "/api/targets", &Value::Null).await;
         let CallEnd::Answered(list) = list else { panic!("no list: {list:?}") };
         let list: Value = serde_json::from_slice(&list.body).expect("a list");
--- a/tests/fleet/replicated.rs
+++ b/tests/fleet/replicated.rs
@@ -4,7 +4,7 @@
 
 use crate::harness;
 use crate::harness::backend::Backend;
-use crate::harness::client::{self, Front, Load, Outcome};
+use crate::harness::client::{self, Load, LoadBalancer, Outcome};
 use crate::harness::cluster::Cluster;
 use crate::harness::process::{Process, StartError};
 use crate::harness::registry::{self, registration};
@@ -29,17 +29,17 @@
     SocketAddr::from(([127, 0, 0, 1], 20_000 + (n % 20_000) as u16))
 }
 
-/// Registers `id` at the node at address `at`; returns the revision if the call was acknowledged.
-pub(crate) fn register(at: SocketAddr, id: &str, n: usize) -> Option<u64> {
+/// Registers `id` at this node; returns the revision if the call was acknowledged.
+pub(crate) fn register(node_address: SocketAddr, id: &str, n: usize) -> Option<u64> {
     let (status, body) =
-        registry::call(at, "POST", "/v1/register", &registration(id, address(n), LONG_TTL_MS))?;
+        registry::call(node_address, "POST", "/v1/register", &registration(id, address(n), LONG_TTL_MS))?;
     (status == 200).then(|| body["revision"].as_u64()).flatten()
 }
 
-/// The full list of the node at address `at`: the revision and the ids.
-pub(crate) fn listed(at: SocketAddr) -> (u64, BTreeSet<String>) {
+/// The full list of this node: the revision and the ids.
+pub(crate) fn listed(node_address: SocketAddr) -> (u64, BTreeSet<String>) {
     let (status, list) =
-        registry::call(at, "GET", "/api/targets", &Value::Null).expect("the list is answered");
+        registry::call(node_address, "GET", "/api/targets", &Value::Null).expect("the list is answered");
     assert_eq!(status, 200, "{list}");
     let ids = list["instances"].as_array().into_iter().flatten();
     let ids = ids.filter_map(|i| i["instanceId"].as_str().map(String::from)).collect();
@@ -54,21 +54,22 @@
 }
 
 impl Writers {
-    pub(crate) fn start(fronts: &[SocketAddr], count: usize, pause: Duration) -> Self {
+    pub(crate) fn start(addresses: &[SocketAddr], count: usize, pause: Duration) -> Self {
         let (stop, unacknowledged) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
         let threads = (0..count)
             .map(|w| {
-                let (stop, unacknowledged, fronts) = (stop.clone(), unacknowledged.clone(), fronts.to_vec());
+                let (stop, unacknowledged, addresses) =
+                    (stop.clone(), unacknowledged.clone(), addresses.to_vec());
                 std::thread::spawn(move || {
                     let mut acknowledged = BTreeMap::new();
-                    let (mut n, mut at) = (0, w);
+                    let (mut n, mut node) = (0, w);
                     while !stop.load(Ordering::SeqCst) {
                         let id = format!("w{w}-{n}");
-                        match register(fronts[at % fronts.len()], &id, n) {
+                        match register(addresses[node % addresses.len()], &id, n) {
                             Some(revision) => drop(acknowledged.insert(id, revision)),
                             None => {
                                 unacknowledged.fetch_add(1, Ordering::SeqCst);
-                                at += 1;
+                                node += 1;
                             }
                         }
                         n += 1;
@@ -91,7 +92,11 @@
 
 /// Asserts that every node lists each acknowledged id, and that no watcher saw the revision decrease or ended with a
 /// list that differs from the nodes'.
-fn assert_nothing_lost(cluster: &Cluster, acknowledged: &BTreeMap<String, u64>, seen: &[WatcherRecord]) {
+fn assert_nothing_lost(
+    cluster: &Cluster,
+    acknowledged: &BTreeMap<String, u64>,
+    watcher_records: &[WatcherRecord],
+) {
     let last = acknowledged.values().copied().max().unwrap_or(1);
     let revision = cluster.agreed(last, TIMEOUT);
     let (_, list) = listed(cluster.front(0));
@@ -100,10 +105,10 @@
     }
     let missing: Vec<_> = acknowledged.keys().filter(|id| !list.contains(*id)).collect();
     assert!(missing.is_empty(), "acknowledged and lost: {missing:?}");
-    for (w, seen) in seen.iter().enumerate() {
-        assert_eq!(seen.regressions, 0, "watcher {w} saw the revision decrease");
-        if seen.revisions.last().is_some_and(|(r, _)| *r == revision) {
-            assert!(seen.list.keys().eq(list.iter()), "watcher {w} ended with another list");
+    for (w, record) in watcher_records.iter().enumerate() {
+        assert_eq!(record.regressions, 0, "watcher {w} saw the revision decrease");
+        if record.revisions.last().is_some_and(|(r, _)| *r == revision) {
+            assert!(record.list.keys().eq(list.iter()), "watcher {w} ended with another list");
         }
     }
 }
@@ -134,7 +139,7 @@
     let (acknowledged, unacknowledged) = writers.end();
     let last = cluster.agreed(acknowledged.values().copied().max().unwrap_or(after), TIMEOUT);
     watchers.wait_for_revision(last, TIMEOUT);
-    let seen = watchers.end();
+    let watcher_records = watchers.end();
     eprintln!(
         "leader killed: next leader in {elected:?}, {} calls acknowledged, {unacknowledged} not; {WATCHERS} watchers \
          notified of the next write in p50 {:?} p99 {:?}",
@@ -142,7 +147,7 @@
         delays[WATCHERS / 2],
         delays[WATCHERS * 99 / 100]
     );
-    assert_nothing_lost(&cluster, &acknowledged, &seen);
+    assert_nothing_lost(&cluster, &acknowledged, &watcher_records);
     assert!(acknowledged.len() > 20, "too few writes: {}", acknowledged.len());
     fleet.check_deadline();
 }
@@ -202,10 +207,11 @@
     let start = Instant::now();
     let clients: Vec<_> = (0..CLIENTS)
         .map(|c| {
-            let at = cluster.front(c % 3);
+            let node_address = cluster.front(c % 3);
             std::thread::spawn(move || {
                 let ids = (c..BURST).step_by(CLIENTS);
-                ids.filter_map(|n| Some((format!("b-{n}"), register(at, &format!("b-{n}"), n)?))).collect()
+                ids.filter_map(|n| Some((format!("b-{n}"), register(node_address, &format!("b-{n}"), n)?)))
+                    .collect()
             })
         })
         .collect();
@@ -299,21 +305,22 @@
         );
         let cluster = Cluster::start(&mut fleet, 3, &extra);
         let leader = cluster.leader();
-        let at = cluster.front(leader);
+        let node_address = cluster.front(leader);
         for (id, ttl) in [("kept", LONG_TTL_MS), ("brief", 60_000)] {
-            let (status, _) = registry::call(at, "POST", "/v1/register", &registration(id, address(1), ttl))
-                .expect("answered");
+            let (status, _) =
+                registry::call(node_address, "POST", "/v1/register", &registration(id, address(1), ttl))
+                    .expect("answered");
             assert_eq!(status, 200);
         }
         // After the jump on every node nothing has expired; a registration without heartbeats expires on time.
         std::thread::sleep(Duration::from_millis(1_800));
-        assert_eq!(listed(at).1.len(), 2, "after a jump of {jump} s");
+        assert_eq!(listed(node_address).1.len(), 2, "after a jump of {jump} s");
         let (status, _) =
-            registry::call(at, "POST", "/v1/register", &registration("gone", address(2), TTL_MS))
+            registry::call(node_address, "POST", "/v1/register", &registration("gone", address(2), TTL_MS))
                 .expect("answered");
         assert_eq!(status, 200);
         let started_at = Instant::now();
-        while listed(at).1.contains("gone") {
+        while listed(node_address).1.contains("gone") {
             assert!(started_at.elapsed() < TIMEOUT, "it never expires");
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -321,26 +328,32 @@
         eprintln!("clock jump of {jump} s: expired after {elapsed:?} (TTL {TTL_MS} ms)");
         assert!(elapsed >= Duration::from_millis(TTL_MS - 20), "expired early: {elapsed:?}");
         assert!(elapsed < Duration::from_millis(TTL_MS + 400), "expired late: {elapsed:?}");
-        assert_eq!(listed(at).1.len(), 2);
+        assert_eq!(listed(node_address).1.len(), 2);
         fleet.check_deadline();
     }
 }
 
 /// Registers the backends with a TTL that outlasts the test; returns the highest revision.
-fn register_backends(at: SocketAddr, backends: &[Backend]) -> u64 {
+fn register_backends(node_address: SocketAddr, backends: &[Backend]) -> u64 {
     let revisions = backends.iter().map(|b| {
-        registry::call(at, "POST", "/v1/register", &registration(b.name(), b.address(), LONG_TTL_MS))
-            .filter(|(status, _)| *status == 200)
-            .and_then(|(_, body)| body["revision"].as_u64())
-            .expect("a backend is registered")
+        registry::call(
+            node_address,
+            "POST",
+            "/v1/register",
+            &registration(b.name(), b.address(), LONG_TTL_MS),
+        )
+        .filter(|(status, _)| *status == 200)
+        .and_then(|(_, body)| body["revision"].as_u64())
+        .expect("a backend is registered")
     });
     revisions.max().expect("backends")
 }
 
 /// The configuration of a proxy that knows no backend and caches its list in `cache`.
-fn config_without_backends(me: usize, proxies: usize, cache: &std::path::Path) -> String {
+fn config_without_backends(proxy_index: usize, proxies: usize, cache: &std::path::Path) -> String {
     let empty = json!({"generation": 0, "reset": true, "instances": []});
-    let config = harness::config(&harness::settings(me, proxies, 0.4), &empty, 0xca5e + me as u64);
+    let config =
+        harness::config(&harness::settings(proxy_index, proxies, 0.4), &empty, 0xca5e + proxy_index as u64);
     let mut config: Value = serde_json::from_str(&config).expect("a configuration");
     config["list_cache"] = json!(cache.display().to_string());
     config.to_string()
@@ -364,8 +377,8 @@
     std::fs::create_dir_all(&caches).expect("a directory for caches");
     let cache = |n: usize| caches.join(format!("list-{n}.json"));
     let mut proxies: Vec<Process> = (0..PROXIES)
-        .map(|me| {
-            let config = config_without_backends(me, PROXIES, &cache(me));
+        .map(|proxy_index| {
+            let config = config_without_backends(proxy_index, PROXIES, &cache(proxy_index));
             fleet.proxy_of(&config, &cluster.fronts()).expect("a proxy starts")
         })
         .collect();
@@ -381,7 +394,7 @@
     }
     let relays: Vec<Relay> =
         proxies.iter().map(|p| Relay::start(p.address()).expect("a relay starts")).collect();
-    let front = Front::new(relays.iter().map(Relay::address).collect());
+    let load_balancer = LoadBalancer::new(relays.iter().map(Relay::address).collect());
     let load = |ms: u64, max_requests: usize| Load {
         clients: 6,
         max_requests,
@@ -394,19 +407,19 @@
         assert!(broken.is_empty(), "requests without a complete answer: {broken:?}");
         records.iter().filter(|r| r.outcome == Outcome::Answered(200)).count() as f64 / records.len() as f64
     };
-    let up_share = served_share(&client::run(&front, load(down_ms.min(5_000), 100_000)));
+    let up_share = served_share(&client::run(&load_balancer, load(down_ms.min(5_000), 100_000)));
 
     (0..3).for_each(|n| cluster.kill(n));
     let killed_at = Instant::now();
     // A proxy restarted now has only the list on its disk.
-    front.mark_down(RESTARTED);
+    load_balancer.mark_down(RESTARTED);
     proxies[RESTARTED].kill();
     let config = config_without_backends(RESTARTED, PROXIES, &cache(RESTARTED));
     let restarted = fleet.proxy_of(&config, &cluster.fronts()).expect("the proxy starts again");
-    let restarted_front = Front::new(vec![restarted.address()]);
-    let restarted_records = client::run(&restarted_front, load(TIMEOUT.as_millis() as u64, 30));
+    let restarted_load_balancer = LoadBalancer::new(vec![restarted.address()]);
+    let restarted_records = client::run(&restarted_load_balancer, load(TIMEOUT.as_millis() as u64, 30));
     let restarted_share = served_share(&restarted_records);
-    let records = client::run(&front, load(down_ms, 1_000_000));
+    let records = client::run(&load_balancer, load(down_ms, 1_000_000));
     let down_share = served_share(&records);
     let down_for = killed_at.elapsed();
 
@@ -450,8 +463,12 @@
     register_backends(cluster.front(leader), std::slice::from_ref(&backend));
     let empty = json!({"generation": 0, "reset": true, "instances": []});
     let _proxies: Vec<Process> = (0..PROXIES)
-        .map(|me| {
-            let config = harness::config(&harness::settings(me, PROXIES, 0.4), &empty, 0x4e2d + me as u64);
+        .map(|proxy_index| {
+            let config = harness::config(
+                &harness::settings(proxy_index, PROXIES, 0.4),
+                &empty,
+                0x4e2d + proxy_index as u64,
+            );
             fleet.proxy_of(&config, &cluster.fronts()).expect("a proxy starts")
         })
         .collect();
@@ -561,10 +578,10 @@
     let (acknowledged, unacknowledged) = writers.end();
     let last = cluster.agreed(acknowledged.values().copied().max().unwrap_or(1), TIMEOUT);
     watchers.wait_for_revision(last, TIMEOUT);
-    let seen = watchers.end();
-    assert_nothing_lost(&cluster, &acknowledged, &seen);
+    let watcher_records = watchers.end();
+    assert_nothing_lost(&cluster, &acknowledged, &watcher_records);
     fleet.check_deadline();
-    (acknowledged.len(), unacknowledged, seen.iter().map(|s| s.revisions.len()).sum())
+    (acknowledged.len(), unacknowledged, watcher_records.iter().map(|s| s.revisions.len()).sum())
 }
 
 /// Randomized faults: kills, pauses, partitions both ways and one way, delays, and all nodes killed at once.
--- a/tests/fleet/slow_disk.rs
+++ b/tests/fleet/slow_disk.rs
@@ -95,7 +95,7 @@
 /// an election timeout.
 #[test]
 fn a_leader_is_elected_and_replaced_while_votes_take_longer_than_an_election_timeout() {
-    // Two of them, one at the candidate and one at the voter, exceed the shortest election timeout of 250 ms.
+    // Two syncs, one at the candidate and one at the voter, exceed the shortest election timeout of 250 ms.
     const SYNC: Duration = Duration::from_millis(200);
     let mut fleet = harness::fleet(FLEET_DEADLINE);
     fleet.set_environment(slow_syncs(SYNC));
@@ -215,7 +215,7 @@
 }
 
 /// The measured figures of one cluster.
-struct Measured {
+struct Measurement {
     /// The number of writers, writes per second, median and 99th percentile latency.
     by_writers: Vec<(usize, f64, Duration, Duration)>,
     /// Failed renewals and all renewals.
@@ -227,7 +227,7 @@
 }
 
 /// Writes for `duration` by `writers` writers at once; returns the sorted latencies of the acknowledged writes.
-fn write_latencies(at: SocketAddr, writers: usize, duration: Duration) -> Vec<Duration> {
+fn write_latencies(node_address: SocketAddr, writers: usize, duration: Duration) -> Vec<Duration> {
     let end = Instant::now() + duration;
     let threads: Vec<_> = (0..writers)
         .map(|writer| {
@@ -238,7 +238,7 @@
                     if started_at >= end {
                         break;
                     }
-                    if register(at, &format!("m{writer}-{}", n % 20), n).is_some() {
+                    if register(node_address, &format!("m{writer}-{}", n % 20), n).is_some() {
                         latencies.push(started_at.elapsed());
                     }
                 }
@@ -254,18 +254,19 @@
 
 /// Renews a backend and a lease until `stop` is set; returns the numbers of failed renewals, of all renewals and of
 /// lost leases.
-fn renew_until(stop: &AtomicBool, at: SocketAddr) -> (usize, usize, usize) {
+fn renew_until(stop: &AtomicBool, node_address: SocketAddr) -> (usize, usize, usize) {
     const INTERVAL: Duration = Duration::from_millis(100);
     let request = json!({"holder": "h", "name": "duty", "ttlMs": 1_000});
-    let acquire_token =
-        || call(at, "POST", "/v1/lease/acquire", &request).and_then(|(_, body)| body["token"].as_u64());
+    let acquire_token = || {
+        call(node_address, "POST", "/v1/lease/acquire", &request).and_then(|(_, body)| body["token"].as_u64())
+    };
     let (mut token, mut failed, mut total, mut lost) = (acquire_token(), 0, 0, 0);
     while !stop.load(Ordering::SeqCst) {
         let grant = json!({"name": "duty", "token": token});
         for (path, body) in
             [("/v1/heartbeat", &json!({"instanceId": "renewed"})), ("/v1/lease/keepalive", &grant)]
         {
-            let status = call(at, "POST", path, body).map(|(status, _)| status);
+            let status = call(node_address, "POST", path, body).map(|(status, _)| status);
             total += 1;
             failed += usize::from(status != Some(200));
             if status == Some(409) {
@@ -279,7 +280,7 @@
 }
 
 /// Measures three nodes, `slow_nodes` of which have disks whose syncs take `sync`.
-fn measure(sync: Duration, slow_nodes: usize) -> Measured {
+fn measure(sync: Duration, slow_nodes: usize) -> Measurement {
     const DURATION: Duration = Duration::from_secs(2);
     let mut fleet = harness::fleet(FLEET_DEADLINE);
     let mut cluster = Cluster::start(&mut fleet, 3, "");
@@ -291,25 +292,25 @@
         cluster.leader();
     }
     let leader = cluster.leader();
-    let at = cluster.front(leader);
-    register(at, "renewed", 0).expect("acknowledged");
+    let node_address = cluster.front(leader);
+    register(node_address, "renewed", 0).expect("acknowledged");
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
-    let renewing = std::thread::spawn(move || renew_until(&stopped, at));
+    let renewal_thread = std::thread::spawn(move || renew_until(&stopped, node_address));
     let by_writers = [1, 3, 64].map(|writers| {
-        let latencies = write_latencies(at, writers, DURATION);
+        let latencies = write_latencies(node_address, writers, DURATION);
         let percentile =
             |part: usize| latencies.get(latencies.len() * part / 100).copied().unwrap_or(Duration::MAX);
         (writers, latencies.len() as f64 / DURATION.as_secs_f64(), percentile(50), percentile(99))
     });
     stop.store(true, Ordering::SeqCst);
-    let (failed, all, leases_lost) = renewing.join().expect("the thread ends");
+    let (failed, all, leases_lost) = renewal_thread.join().expect("the thread ends");
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     let killed_at = Instant::now();
     cluster.kill(leader);
     cluster.leader_of(&others, AGREEMENT_TIMEOUT);
     let next_leader = killed_at.elapsed();
-    Measured { by_writers: by_writers.to_vec(), renewals: (failed, all), leases_lost, next_leader }
+    Measurement { by_writers: by_writers.to_vec(), renewals: (failed, all), leases_lost, next_leader }
 }
 
 /// Not a test: prints the table of `docs/CAPACITY.md`.
@@ -318,7 +319,7 @@
 fn measures_what_callers_get_from_slow_disks() {
     for ms in [1, 5, 20, 50, 200] {
         for slow in 1..=3 {
-            let Measured { by_writers, renewals: (failed, all), leases_lost, next_leader } =
+            let Measurement { by_writers, renewals: (failed, all), leases_lost, next_leader } =
                 measure(Duration::from_millis(ms), slow);
             let cells: Vec<String> = by_writers
                 .iter()
--- a/tests/fleet/system_calls.rs
+++ b/tests/fleet/system_calls.rs
@@ -5,7 +5,7 @@
 use crate::harness::backend::Backend;
 use crate::harness::discovery::{Discovery, Listing};
 use crate::harness::process::{Fleet, Process};
-use crate::ready;
+use crate::wait_until_ready;
 use fleet_testbed::http::{Conn, Message};
 use fleet_testbed::rt::Loop;
 use fleet_testbed::syscall_faults::{SyscallFaults, read_counts};
@@ -52,7 +52,7 @@
         fleet.set_environment(faults.environment());
         let config = harness::config(&harness::settings(0, 1, 0.4), &discovery.known(), 7);
         let proxy = fleet.proxy(&config, discovery.agent(0)).expect("a proxy starts");
-        ready(&proxy);
+        wait_until_ready(&proxy);
         Self { fleet, proxy, _backends: backends, _discovery: discovery, counts }
     }
 
--- a/tests/fleet/telling.rs
+++ b/tests/fleet/telling.rs
@@ -4,7 +4,7 @@
 use crate::harness::backend::Backend;
 use crate::harness::discovery::{Discovery, Listing};
 use crate::harness::process::{Fleet, Process};
-use crate::ready;
+use crate::wait_until_ready;
 use fleet_testbed::http::{Conn, Message};
 use fleet_testbed::rt::Loop;
 use serde_json::Value;
@@ -21,7 +21,7 @@
     let discovery = Discovery::start(vec![listing], 1).expect("discovery");
     let config = harness::config(&harness::settings(0, 1, 0.4), &discovery.known(), 7);
     let proxy = fleet.proxy(&config, discovery.agent(0)).expect("a proxy starts");
-    ready(&proxy);
+    wait_until_ready(&proxy);
     (proxy, discovery)
 }
 
--- a/tests/fleet/upgrade.rs
+++ b/tests/fleet/upgrade.rs
@@ -18,7 +18,7 @@
 const TIMEOUT: Duration = Duration::from_secs(30);
 /// Long enough to keep the list below its bound of 6,000 entries for the duration of the test.
 const PAUSE_BETWEEN_WRITES: Duration = Duration::from_millis(40);
-/// Changes made while a node is down: the others then keep only a part of them in their logs and send it a snapshot.
+/// The number of changes while a node is down: the others log only a part of them and send it a snapshot.
 const CHANGES_WHILE_DOWN: usize = 6_500;
 const CHANGE_WRITERS: usize = 16;
 /// The node that is down during these changes.
@@ -64,7 +64,7 @@
         self.nodes[n] = None;
     }
 
-    fn fronts(&self) -> Vec<SocketAddr> {
+    fn addresses(&self) -> Vec<SocketAddr> {
         self.relays.iter().map(Relay::address).collect()
     }
 
@@ -78,7 +78,7 @@
         let deadline = Instant::now() + TIMEOUT;
         loop {
             let revisions: Vec<_> = (0..NODES).map(|n| self.revision(n)).collect();
-            if revisions.iter().all(|at| *at >= Some(revision)) {
+            if revisions.iter().all(|reached| *reached >= Some(revision)) {
                 return;
             }
             assert!(Instant::now() < deadline, "nodes at revisions {revisions:?}, not all at {revision}");
@@ -89,14 +89,14 @@
     /// Sends a write to one node after another until one acknowledges it; returns the answer.
     fn write(&self, path: &str, body: &Value) -> Value {
         let deadline = Instant::now() + TIMEOUT;
-        for front in self.fronts().iter().cycle() {
-            match call(*front, "POST", path, body) {
+        for address in self.addresses().iter().cycle() {
+            match call(*address, "POST", path, body) {
                 Some((200, answer)) => return answer,
                 answer => assert!(Instant::now() < deadline, "{path} {body}: {answer:?}"),
             }
             std::thread::sleep(Duration::from_millis(50));
         }
-        unreachable!("the loop over the fronts ends only by a return or a panic")
+        unreachable!("the loop over the addresses ends only by a return or a panic")
     }
 
     /// Asserts that every node but `down` has a snapshot of a part of its log.
@@ -111,13 +111,13 @@
     fn change_weights(&self, down: usize) {
         let writers: Vec<_> = (0..CHANGE_WRITERS)
             .map(|writer| {
-                let mut fronts = self.fronts();
-                fronts.remove(down);
+                let mut addresses = self.addresses();
+                addresses.remove(down);
                 std::thread::spawn(move || {
                     for n in (writer..CHANGES_WHILE_DOWN).step_by(CHANGE_WRITERS) {
                         let change = json!({"instanceId": "first", "weight": 1.0 + (n % 900) as f64});
                         // The test does not rely on a change that is not acknowledged.
-                        let _ = call(fronts[n % fronts.len()], "POST", "/v1/weight", &change);
+                        let _ = call(addresses[n % addresses.len()], "POST", "/v1/weight", &change);
                     }
                 })
             })
@@ -143,7 +143,7 @@
     let lease = json!({"name": "warm:first", "holder": "h-1", "ttlMs": TTL_MS});
     let granted = cluster.write("/v1/lease/acquire", &lease);
     let grant = json!({"name": "warm:first", "token": granted["token"]});
-    let writers = Writers::start(&cluster.fronts(), NODES, PAUSE_BETWEEN_WRITES);
+    let writers = Writers::start(&cluster.addresses(), NODES, PAUSE_BETWEEN_WRITES);
 
     let mut replaced = 0;
     for (build, program) in [("this build", program::current_program()), ("the previous build", &previous)] {
@@ -167,7 +167,7 @@
     let (acknowledged, unacknowledged) = writers.end();
     let last = register(cluster.relays[0].address(), "last", 1).expect("acknowledged");
     cluster.wait_for(last);
-    let lists: Vec<_> = cluster.fronts().into_iter().map(listed).collect();
+    let lists: Vec<_> = cluster.addresses().into_iter().map(listed).collect();
     assert!(lists.iter().all(|list| *list == lists[0]), "the nodes' lists differ");
     let lost: Vec<_> = acknowledged.keys().filter(|id| !lists[0].1.contains(*id)).collect();
     eprintln!("{replaced} replacements: {} writes acknowledged, {unacknowledged} not", acknowledged.len());
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -11,7 +11,7 @@
 mod harness;
 
 use harness::backend::Backend;
-use harness::client::{self, Front, Load, Outcome};
+use harness::client::{self, Load, LoadBalancer, Outcome};
 use harness::program::{self, Service};
 use harness::registry::{call, registration};
 use serde_json::{Value, json};
@@ -197,7 +197,7 @@
         remaining_ms: 1_500,
         pause: Duration::from_millis(5),
     };
-    let records = client::run(&Front::new(vec![proxy.address()]), load);
+    let records = client::run(&LoadBalancer::new(vec![proxy.address()]), load);
     let served = records.iter().filter(|record| record.outcome == Outcome::Answered(200)).count();
     assert_eq!((served, records.len()), (40, 40), "{records:?}");
     drop(backends);
