--- a/tests/fleet/hard.rs
+++ b/tests/fleet/harness_faults.rs
@@ -94,7 +94,7 @@
 #[test]
 fn a_test_killed_midway_leaves_no_process() {
     let mut helper = Command::new(std::env::current_exe().expect("the test binary"))
-        .args(["--ignored", "--exact", "hard::helper_starts_a_proxy_and_hangs", "--nocapture"])
+        .args(["--ignored", "--exact", "harness_faults::helper_starts_a_proxy_and_hangs", "--nocapture"])
         .env(HELPER_VARIABLE, "1")
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,21 +1,21 @@
 //! Tests that run several proxy processes with faults between them (the harness is in `harness/`).
 
+mod acceptance;
 mod crowds;
 mod deployments;
-mod durable;
+mod durability;
 mod duties;
 mod failing_disk;
 mod failing_files;
-mod hard;
-mod hardening;
 mod harness;
-mod listing;
+mod harness_faults;
+mod list_service_traffic;
 mod liveness;
 mod node_connections;
 mod replicated;
 mod slow_disk;
 mod system_calls;
-mod telling;
+mod telemetry;
 mod upgrade;
 
 use harness::backend::Backend;
