--- a/tests/liveness_model.rs
+++ b/tests/liveness_model.rs
@@ -51,7 +51,7 @@
 #[derive(Clone)]
 enum Call {
     Acquire { holder: usize, number: u64 },
-    KeepAlive { holder: usize, token: u64, sent_at: Instant },
+    KeepAlive { holder: usize, token: u64, sent: Instant },
     Heartbeat,
 }
 
@@ -70,7 +70,7 @@
     Renewed {
         holder: usize,
         token: u64,
-        sent_at: Instant,
+        sent: Instant,
     },
     Lost {
         holder: usize,
@@ -209,9 +209,7 @@
                 let ttl = Duration::from_millis(TTL_MS);
                 self.holders[holder].contender.granted(number, LEASE_NAME, token, ttl);
             }
-            Message::Renewed { holder, token, sent_at } => {
-                self.holders[holder].contender.renewed(token, sent_at)
-            }
+            Message::Renewed { holder, token, sent } => self.holders[holder].contender.renewed(token, sent),
             Message::Lost { holder, token } => self.holders[holder].contender.lost(token),
             Message::ExpiryTick => {
                 self.expire();
@@ -265,12 +263,12 @@
                     self.heartbeat_answered_ms = self.now_ms;
                 }
             }
-            Call::KeepAlive { holder, token, sent_at } => {
+            Call::KeepAlive { holder, token, sent } => {
                 let grant = GrantId { name: LEASE_NAME.into(), token };
                 let renewals = Renewals { grants: vec![grant], ..Renewals::default() };
                 let lost = self.leaders[term as usize - 1].liveness.renew(&renewals, &self.store, at_ms);
                 let answer = match lost.grants.is_empty() {
-                    true => Message::Renewed { holder, token, sent_at },
+                    true => Message::Renewed { holder, token, sent },
                     false => Message::Lost { holder, token },
                 };
                 self.send(answer_delay_ms, answer);
@@ -317,10 +315,10 @@
     }
 
     fn renew_or_acquire(&mut self, holder: usize, rng: &mut SmallRng) {
-        let sent_at = self.local_time(holder);
+        let sent = self.local_time(holder);
         let call = match self.holders[holder].contender.lease() {
-            Some(lease) => Call::KeepAlive { holder, token: lease.token, sent_at },
-            None => Call::Acquire { holder, number: self.holders[holder].contender.begin_acquire(sent_at) },
+            Some(lease) => Call::KeepAlive { holder, token: lease.token, sent },
+            None => Call::Acquire { holder, number: self.holders[holder].contender.begin_acquire(sent) },
         };
         self.call(call, rng);
     }
