--- a/src/registry/raft/network.rs
+++ b/src/registry/raft/network.rs
@@ -22,7 +22,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The maximum body of a call between nodes, in bytes: 300 entries, or a chunk of a snapshot as JSON numbers.
+/// The maximum body of a call between nodes, in bytes: enough for 100 entries, the maximum of one call, of up to 64 KiB
+/// each, or for a chunk of a snapshot as JSON numbers.
 pub const MAX_BODY_BYTES: usize = 8 << 20;
 /// Bytes of a snapshot sent in one call; as JSON they take about four times as many.
 pub const SNAPSHOT_CHUNK_BYTES: u64 = 256 << 10;
